--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 use cedarwharf::config::desk;
 use cedarwharf::config::document::{parse, schema};
 use cedarwharf::config::problem::Problems;
-use cedarwharf::config::secret::Disk;
+use cedarwharf::config::secret::DiskFiles;
 use cedarwharf::net::node::Options;
 use cedarwharf::net::signals::Signals;
 use cedarwharf::net::{config, log, node};
@@ -220,7 +220,7 @@
         Some(path) => {
             let bytes = std::fs::read(path).map_err(|problem| problem.to_string());
             match bytes.and_then(|bytes| config::parse(bytes, PathBuf::new())) {
-                Ok(platform) => desk::check(&platform.base, &text, &Disk).map(|_| ()),
+                Ok(platform) => desk::check(&platform.base, &text, &DiskFiles).map(|_| ()),
                 Err(problem) => {
                     eprintln!("cedarwharf: {}: {problem}", path.display());
                     return Exit::Problems;
@@ -231,7 +231,7 @@
     let problems = checked.err().unwrap_or_default();
     match output {
         Output::Json => {
-            let told = serde_json::json!({"problems": problems.list(), "more": problems.more()});
+            let told = serde_json::json!({"problems": problems.list(), "more": problems.omitted()});
             println!("{told}");
         }
         Output::Text if problems.is_empty() => println!("{}: good", file.display()),
--- a/src/config/desk.rs
+++ b/src/config/desk.rs
@@ -1,27 +1,27 @@
 //! Decides about requests for a change: which version they were made from, whether a window is open, what they would
-//! change. Holds what is in force. No I/O but the reading of secrets' files, through [`Files`].
+//! change. Holds what is in force. No I/O but the reading of secrets' files, through [`SecretFiles`].
 
 use super::document::{self, line_of, Document};
-use super::model::{self, differences, digest, merge, Base, Difference, Model, Outline};
+use super::model::{self, differences, digest, merge, Difference, Model, Outline, PlatformConfig};
 use super::plan::{plan, Step};
-use super::probation::{Bounds, Probation, Sums};
+use super::probation::{Bounds, Probation, ServiceCounts};
 use super::problem::{Problem, Problems};
-use super::secret::Files;
+use super::secret::SecretFiles;
 use super::versions::{Staged, Version, Versions, Window};
 use crate::Micros;
 
 /// A window is no longer than this.
-pub const LONGEST_WINDOW_MS: u64 = 24 * 3600 * 1000;
+pub const MAX_WINDOW_MS: u64 = 24 * 3600 * 1000;
 /// Longest reason that is kept.
-const LONGEST_WHY: usize = 256;
+const MAX_WHY_CHARS: usize = 256;
 
 /// What the window of a version asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trial {
     /// How long it is, in milliseconds.
-    pub for_ms: u64,
-    /// At its end the version stays unless it was confirmed; else it goes back.
-    pub stays: bool,
+    pub duration_ms: u64,
+    /// At its end the version keep_on_expiry unless it was confirmed; else it goes back.
+    pub keep_on_expiry: bool,
     /// It goes back at once when the service is out of these.
     pub bounds: Bounds,
 }
@@ -32,7 +32,7 @@
     /// The operators' file.
     pub document: String,
     /// The platform's file, where it was read again.
-    pub base: Option<Base>,
+    pub base: Option<PlatformConfig>,
     /// The version that it was made from; none takes whichever is in force.
     pub from: Option<u64>,
     /// By whom.
@@ -42,7 +42,7 @@
     /// Whether it must prove itself.
     pub trial: Option<Trial>,
     /// It leads back: an open window does not keep it out.
-    pub back: bool,
+    pub is_rollback: bool,
 }
 
 /// Why a request is not carried out. The status is HTTP's.
@@ -62,7 +62,7 @@
 }
 
 /// A change that has passed every check, ready to be put in force.
-pub struct Planned {
+pub struct PlannedChange {
     /// Its steps.
     pub steps: Vec<Step>,
     /// What will be in force.
@@ -72,30 +72,34 @@
     /// What differs.
     pub differences: Vec<Difference>,
     outline: Outline,
-    base: Option<Base>,
+    base: Option<PlatformConfig>,
     trial: Option<Trial>,
 }
 
 /// An open window.
 #[derive(Debug)]
-struct Open {
+struct OpenWindow {
     until: Micros,
     back_to: u64,
-    stays: bool,
+    keep_on_expiry: bool,
     probation: Probation,
 }
 
 /// See the module's text.
-pub struct Desk {
-    base: Base,
+pub struct ChangeService {
+    base: PlatformConfig,
     versions: Versions,
     model: Model,
     outline: Outline,
-    open: Option<Open>,
+    open_window: Option<OpenWindow>,
 }
 
 /// Reads a document and lays it over the platform's file; problems carry their lines.
-pub fn check(base: &Base, text: &str, files: &dyn Files) -> Result<(Document, Model), Problems> {
+pub fn check(
+    base: &PlatformConfig,
+    text: &str,
+    files: &dyn SecretFiles,
+) -> Result<(Document, Model), Problems> {
     let (document, node) = document::parse(text.as_bytes())?;
     match merge(base, &document, files) {
         Ok(model) => Ok((document, model)),
@@ -110,20 +114,20 @@
 }
 
 /// What a start found, for those on call.
-pub type Notes = Vec<String>;
+pub type StartNotes = Vec<String>;
 
-impl Desk {
+impl ChangeService {
     /// At a start: the last version kept runs, or the file where there is none, or where `fresh` asks for it. A version
-    /// whose window was open goes back. What is to be written comes in [`Desk::versions`].
+    /// whose window was open goes back. What is to be written comes in [`ChangeService::versions`].
     pub fn start(
-        base: Base,
+        base: PlatformConfig,
         versions: Versions,
         file: Option<&str>,
         fresh: bool,
-        files: &dyn Files,
+        files: &dyn SecretFiles,
         at: Micros,
-    ) -> Result<(Desk, Notes), Problems> {
-        let mut notes = Notes::new();
+    ) -> Result<(ChangeService, StartNotes), Problems> {
+        let mut notes = StartNotes::new();
         let at_ms = at.0 / 1000;
         let last = versions.current().cloned();
         // Documents to try, in this order, each with what to say of it.
@@ -170,12 +174,12 @@
                 let who = "start".to_owned();
                 let version =
                     Version { number: from + 1, digest, from, at_ms, who, why, document, window: None };
-                versions.with(version)?
+                versions.with_version(version)?
             };
             if let Some(version) = versions.current() {
                 notes.push(format!("configuration {} in force, digest {}", version.number, version.digest));
             }
-            return Ok((Desk { base, versions, model, outline, open: None }, notes));
+            return Ok((ChangeService { base, versions, model, outline, open_window: None }, notes));
         }
         Err(failed.unwrap_or_default())
     }
@@ -191,7 +195,7 @@
     }
 
     /// The platform's file as last read.
-    pub fn base(&self) -> &Base {
+    pub fn base(&self) -> &PlatformConfig {
         &self.base
     }
 
@@ -202,37 +206,37 @@
 
     /// How long an open window still is.
     pub fn window_left(&self, now: Micros) -> Option<Micros> {
-        self.open.as_ref().map(|open| open.until.minus(now))
+        self.open_window.as_ref().map(|open| open.until.minus(now))
     }
 
-    /// When [`Desk::turn`] is due though nothing happens.
+    /// When [`ChangeService::turn`] is due though nothing happens.
     pub fn due(&self) -> Option<Micros> {
-        self.open.as_ref().map(|open| open.until)
+        self.open_window.as_ref().map(|open| open.until)
     }
 
     /// Called each turn: whether the version in force must go back, and to what. Cost: none while no window is open.
-    pub fn turn(&mut self, now: Micros, sums: Sums, turn: Micros) -> Option<Change> {
-        let open = self.open.as_mut()?;
+    pub fn check_window(&mut self, now: Micros, counts: ServiceCounts, iteration: Micros) -> Option<Change> {
+        let open = self.open_window.as_mut()?;
         let over = open.until <= now;
-        if over && open.stays {
+        if over && open.keep_on_expiry {
             return None;
         }
-        let why = match open.probation.judge(sums, turn) {
+        let why = match open.probation.violation(counts, iteration) {
             Some(why) => why,
             None if over => "not confirmed in time".to_owned(),
             None => return None,
         };
         let to = open.back_to;
-        self.back(to, "probation".to_owned(), why).ok()
+        self.rollback_to(to, "probation".to_owned(), why).ok()
     }
 
     /// Whether a probation has been passed: then the version is to be confirmed.
-    pub fn passed(&self, now: Micros) -> bool {
-        self.open.as_ref().is_some_and(|open| open.stays && open.until <= now)
+    pub fn probation_passed(&self, now: Micros) -> bool {
+        self.open_window.as_ref().is_some_and(|open| open.keep_on_expiry && open.until <= now)
     }
 
     /// A change that leads back to a version.
-    pub fn back(&self, to: u64, who: String, why: String) -> Result<Change, Refusal> {
+    pub fn rollback_to(&self, to: u64, who: String, why: String) -> Result<Change, Refusal> {
         let Some(version) = self.versions.get(to) else {
             return Err(Refusal::new(
                 404,
@@ -242,12 +246,12 @@
         };
         let why = format!("back to version {to}: {why}");
         let document = version.document.clone();
-        Ok(Change { document, base: None, from: None, who, why, trial: None, back: true })
+        Ok(Change { document, base: None, from: None, who, why, trial: None, is_rollback: true })
     }
 
     /// The version before the one in force, for an undo that names none.
-    pub fn before(&self) -> Option<u64> {
-        match &self.open {
+    pub fn previous_version(&self) -> Option<u64> {
+        match &self.open_window {
             Some(open) => Some(open.back_to),
             None => self.versions.iter().rev().nth(1).map(|version| version.number),
         }
@@ -259,20 +263,25 @@
         document: String,
         who: String,
         now: Micros,
-        files: &dyn Files,
+        files: &dyn SecretFiles,
     ) -> Result<Versions, Refusal> {
-        self.checked(&self.base, &document, files)?;
+        self.check_changeable(&self.base, &document, files)?;
         let staged = Staged { from: self.versions.number(), at_ms: now.0 / 1000, who, document };
-        self.versions.with_staged(Some(staged)).map_err(full)
+        self.versions.with_staged(Some(staged)).map_err(storage_full)
     }
 
     /// What a document would change.
-    pub fn diff(&self, document: &str, files: &dyn Files) -> Result<Vec<Difference>, Refusal> {
-        let model = self.checked(&self.base, document, files)?;
+    pub fn diff(&self, document: &str, files: &dyn SecretFiles) -> Result<Vec<Difference>, Refusal> {
+        let model = self.check_changeable(&self.base, document, files)?;
         Ok(differences(&self.outline, &model.outline(self.versions.salt())))
     }
 
-    fn checked(&self, base: &Base, document: &str, files: &dyn Files) -> Result<Model, Refusal> {
+    fn check_changeable(
+        &self,
+        base: &PlatformConfig,
+        document: &str,
+        files: &dyn SecretFiles,
+    ) -> Result<Model, Refusal> {
         let checked = check(base, document, files).map_err(|problems| Refusal { status: 422, problems })?;
         // What a running process cannot do is told by a check, too.
         plan(&self.model, &checked.1).map_err(|problems| Refusal { status: 422, problems })?;
@@ -280,85 +289,92 @@
     }
 
     /// A change, checked and planned. Nothing has been done yet.
-    pub fn weigh(&self, change: Change, now: Micros, files: &dyn Files) -> Result<Planned, Refusal> {
+    pub fn plan_change(
+        &self,
+        change: Change,
+        now: Micros,
+        files: &dyn SecretFiles,
+    ) -> Result<PlannedChange, Refusal> {
         let number = self.versions.number();
         if let Some(from) = change.from.filter(|&from| from != number) {
             let what = format!("made from version {from}, but version {number} is in force");
             return Err(Refusal::new(412, what, "look at what has changed, and make it from that one"));
         }
-        if let Some(open) = self.open.as_ref().filter(|_| !change.back) {
+        if let Some(open) = self.open_window.as_ref().filter(|_| !change.is_rollback) {
             let (left, back) = (open.until.minus(now).0 / 1_000_000, open.back_to);
             let what =
                 format!("version {number} is on trial for {left} s more, then version {back} comes back");
             return Err(Refusal::new(409, what, "confirm it or undo it first"));
         }
         let base = change.base.as_ref().unwrap_or(&self.base);
-        let model = self.checked(base, &change.document, files)?;
+        let model = self.check_changeable(base, &change.document, files)?;
         let steps = plan(&self.model, &model).map_err(|problems| Refusal { status: 422, problems })?;
         let outline = model.outline(self.versions.salt());
         let differences = differences(&self.outline, &outline);
         let trial = change.trial.filter(|_| !steps.is_empty());
-        let window = trial.map(|trial| Window { until_ms: now.0 / 1000 + trial.for_ms, back_to: number });
-        let unchanged = steps.is_empty() && !change.back;
+        let window =
+            trial.map(|trial| Window { until_ms: now.0 / 1000 + trial.duration_ms, back_to: number });
+        let unchanged = steps.is_empty() && !change.is_rollback;
         let versions = if unchanged {
             self.versions.with_staged(None)
         } else {
-            self.versions.with(Version {
+            self.versions.with_version(Version {
                 number: number + 1,
                 digest: digest(&outline),
                 from: number,
                 at_ms: now.0 / 1000,
                 who: change.who,
-                why: change.why.chars().take(LONGEST_WHY).collect(),
+                why: change.why.chars().take(MAX_WHY_CHARS).collect(),
                 document: change.document,
                 window,
             })
         };
         // Where the folder gets smaller with this change, the history does so first.
-        let versions = versions.and_then(|versions| versions.rebound(super::store::bound(model.disk)));
-        let versions = versions.map_err(full)?;
-        Ok(Planned { steps, model, versions, differences, outline, base: change.base, trial })
+        let versions =
+            versions.and_then(|versions| versions.with_bound(super::store::max_versions_bytes(model.disk)));
+        let versions = versions.map_err(storage_full)?;
+        Ok(PlannedChange { steps, model, versions, differences, outline, base: change.base, trial })
     }
 
     /// A planned change is in force.
-    pub fn settle(&mut self, planned: Planned, now: Micros, sums: Sums) {
+    pub fn complete(&mut self, planned: PlannedChange, now: Micros, counts: ServiceCounts) {
         let back_to = self.versions.number();
         if let Some(base) = planned.base {
             self.base = base;
         }
         (self.model, self.outline, self.versions) = (planned.model, planned.outline, planned.versions);
-        self.open = planned.trial.map(|trial| Open {
-            until: now.plus(Micros(trial.for_ms * 1000)),
+        self.open_window = planned.trial.map(|trial| OpenWindow {
+            until: now.plus(Micros(trial.duration_ms * 1000)),
             back_to,
-            stays: trial.stays,
-            probation: Probation::new(trial.bounds, sums),
+            keep_on_expiry: trial.keep_on_expiry,
+            probation: Probation::new(trial.bounds, counts),
         });
         debug_assert_eq!(self.versions.current().map(|v| &v.digest), Some(&digest(&self.outline)));
     }
 
     /// The history with the version in force confirmed.
     pub fn confirm(&self) -> Result<Versions, Refusal> {
-        if self.open.is_none() {
+        if self.open_window.is_none() {
             return Err(Refusal::new(409, "no version is on trial", "nothing is to be done"));
         }
         Ok(self.versions.confirmed())
     }
 
     /// The history was written.
-    pub fn keep(&mut self, versions: Versions) {
+    pub fn replace_versions(&mut self, versions: Versions) {
         if versions.current().is_some_and(|version| version.window.is_none()) {
-            self.open = None;
+            self.open_window = None;
         }
         self.versions = versions;
     }
 
     /// What is in force is that of one version: an invariant, for tests and assertions.
-    pub fn consistent(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         let outline = self.model.outline(self.versions.salt());
         self.versions.current().is_some_and(|version| version.digest == model::digest(&outline))
     }
 }
 
-fn full(problem: Problem) -> Refusal {
+fn storage_full(problem: Problem) -> Refusal {
     Refusal { status: 507, problems: problem.into() }
 }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,9 +1,9 @@
-//! The operators' file, section by section. Each key is optional unless its type says otherwise; what it leaves out is
-//! taken from the platform's file. Units stand in the names.
+//! The sections of the operators' file. A key is optional where its type is an `Option`; what the file omits is
+//! taken from the platform's file. Names of keys include the unit.
 
-#![allow(non_snake_case)] // Some keys are named as discovery names them.
+#![allow(non_snake_case)] // Some keys have the spelling of the discovery protocol.
 
-use super::read::{At, Value};
+use super::read::{Location, Value};
 use super::secret::Secret;
 use super::tree::{self, Node, Raw};
 use super::{problem::Problems, read};
@@ -12,22 +12,22 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// A type of a few words, written as they stand in the file.
-macro_rules! words {
+/// Declares an enum whose values are written in the file as fixed words.
+macro_rules! text_values {
     ($(#[$doc:meta])* $name:ident { $($(#[$meaning:meta])* $variant:ident = $word:literal),* }) => {
-        $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, JsonSchema)]
+        $(#[$doc])*
         pub enum $name {
             $($(#[$meaning])* #[serde(rename = $word)] $variant),*
         }
 
         impl Value for $name {
-            fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
+            fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
                 match &node.value {
                     $(Raw::Text(word) if word == $word => Some($name::$variant),)*
                     other => {
-                        let what = if matches!(other, Raw::Text(_)) { "not one of its words" } else { other.kind() };
-                        problems.add(at.wrong(node.line, what, concat!("write one of:" $(, " ", $word)*)));
+                        let what = if matches!(other, Raw::Text(_)) { "not an allowed value" } else { other.kind() };
+                        problems.add(at.problem(node.line, what, concat!("write one of:" $(, " ", $word)*)));
                         None
                     }
                 }
@@ -36,122 +36,122 @@
     };
 }
 
-words! {
-    /// What repeating a message does at its destination.
+text_values! {
+    /// The effect of sending a message to its destination more than once.
     Repeats {
-        /// It may be sent again at will.
+        /// It may be sent again without limit.
         Retryable = "retryable",
-        /// Receivers drop repeats for `window_ms`.
+        /// Receivers discard duplicates for `window_ms`.
         Dedup = "dedup",
-        /// It must never take effect twice.
+        /// It must never take effect more than once.
         Fragile = "fragile"
     }
 }
 
-words! {
-    /// The receivers that share the memory of a keyed message.
+text_values! {
+    /// The endpoints that share the record of a message's key, by which duplicates are recognized.
     Scope {
         /// All endpoints of the destination.
         All = "all",
-        /// Those in one zone.
+        /// All endpoints of the destination in one zone.
         Zone = "zone",
         /// A single endpoint.
         Endpoint = "endpoint"
     }
 }
 
-words! {
-    /// The least severe lines that are written.
+text_values! {
+    /// The lowest severity of log lines that are written.
     Level {
-        /// What went wrong.
+        /// Errors.
         Error = "error",
-        /// And what may.
+        /// Errors and warnings.
         Warn = "warn",
-        /// And what happened.
+        /// Also events.
         Info = "info",
-        /// And each step.
+        /// Also each step.
         Debug = "debug"
     }
 }
 
-words! {
-    /// How a line is written.
+text_values! {
+    /// The format of a log line.
     Form {
-        /// For people.
+        /// Plain text for people.
         Text = "text",
-        /// One JSON object a line.
+        /// One JSON object per line.
         Json = "json"
     }
 }
 
 section! {
-    /// Everything that operators can set.
+    /// All settings of the operators' file.
     Document {
-        /// Where clients of the platform's front connect.
+        /// Address on which clients of the platform's front connect.
         listen: Option<SocketAddr>;
-        /// Where discovery's agent answers, and notices go.
+        /// Address of the discovery agent, to which delivery reports are also sent.
         discovery: Option<SocketAddr>;
-        /// Bounds of what the process holds and does.
+        /// Resource limits of the process.
         limits: Option<Limits>;
-        /// Classes of message; named here, the list stands for all of them.
+        /// Message classes; where given, the list replaces the whole list of the platform's file.
         classes: Option<Vec<Class>>;
-        /// Tenants; named here, the list stands for all of them.
+        /// Tenants; where given, the list replaces the whole list of the platform's file.
         tenants: Option<Vec<Tenant>>;
-        /// Lines for those on call.
+        /// Log lines for operators.
         log: Option<Log>;
-        /// The front for publishers, and partners behind brokers.
+        /// The AMQP front for publishers, and destinations that are reached through brokers.
         amqp: Option<Amqp>;
-        /// Service entries from DNS-SD records.
+        /// Endpoint records read from DNS-SD.
         dns_sd: Option<DnsSd>;
         /// The administration API.
         admin: Option<Admin>;
-        /// The other forwarders of the fleet; absent, no socket is opened for them.
+        /// Membership among the forwarders of the fleet; where absent, no socket is opened for it.
         membership: Option<Membership>;
     }
 }
 
 section! {
-    /// Bounds of what the process holds and does.
+    /// Resource limits of the process.
     Limits {
-        /// Calls to real servers out at once.
+        /// Maximum number of concurrent calls to endpoints.
         slots: Option<u32> = 1 ..= 65_536;
-        /// Messages held at once, those that are out included.
+        /// Maximum number of messages held at once, including those with a call in progress.
         held_messages: Option<u32> = 1 ..= 10_000_000;
-        /// Bytes of messages held at once, in units of 1,000,000.
+        /// Maximum size of the messages held at once, in units of 1,000,000 bytes.
         held_mb: Option<f64> = 0.01 ..= 1_000_000.0;
-        /// Attempts for one message.
+        /// Maximum number of attempts for one message.
         max_attempts: Option<u32> = 1 ..= 1_000;
-        /// File descriptors of the process.
+        /// Maximum number of file descriptors of the process.
         sockets: Option<u32> = 64 ..= 1_048_576;
-        /// Bytes in the folder that lasts, in units of 1,000,000.
+        /// Maximum size of the state folder, in units of 1,000,000 bytes.
         disk_mb: Option<f64> = 0.1 ..= 1_000_000.0;
-        /// Longest wait for a connection to a real server, in milliseconds.
+        /// Time-out for connecting to an endpoint, in milliseconds.
         dial_timeout_ms: Option<f64> = 1.0 ..= 600_000.0;
-        /// Connections to real servers that are unused for so long are closed, in milliseconds.
+        /// Idle time after which a connection to an endpoint is closed, in milliseconds.
         server_idle_ms: Option<f64> = 1.0 ..= 3_600_000.0;
-        /// Longest advice to a client that is turned down, in milliseconds.
+        /// Longest retry-after given to a client whose message is rejected, in milliseconds.
         max_retry_after_ms: Option<f64> = 1.0 ..= 3_600_000.0;
     }
 }
 
 section! {
-    /// A class of message.
+    /// A message class.
     Class {
-        /// Its name: `Request-Class`, or AMQP's `type`.
+        /// Name of the class, as given in the header `Request-Class` or the AMQP property `type`.
         name: String;
-        /// What repeating a message of it does. It cannot change while the process runs.
+        /// Effect of sending a message of this class more than once. It cannot change while the process runs.
         effect: Repeats;
-        /// Whose memory drops repeats; only for `dedup`, where `endpoint` is the default.
+        /// The endpoints that share the record of keys; only for `dedup`, where the default is `endpoint`.
         key_scope: Option<Scope>;
-        /// For how long repeats are dropped, in milliseconds; needed for `dedup`.
+        /// Time for which receivers discard duplicates, in milliseconds; required for `dedup`.
         window_ms: Option<f64> = 1.0 ..= 86_400_000.0;
-        /// Delivered within this time, a message earns its full worth, in milliseconds.
+        /// Target time: a message delivered within it earns its full worth, in milliseconds.
         aim_ms: f64 = 1.0 ..= 86_400_000.0;
-        /// The time in which it may be delivered at all, in milliseconds.
+        /// Time after which the message is no longer delivered, in milliseconds.
         deadline_ms: f64 = 1.0 ..= 86_400_000.0;
-        /// Worth of a message that is delivered in time; 1 where absent.
+        /// Worth of a message that is delivered within the target time; default 1.
         worth: Option<f64> = 0.0 ..= 1_000_000.0;
-        /// Share of the worth that is left at the deadline; 0 where absent.
+        /// Fraction of the worth that remains at the deadline; default 0.
         late_share: Option<f64> = 0.0 ..= 1.0;
     }
 }
@@ -159,49 +159,50 @@
 section! {
     /// A tenant.
     Tenant {
-        /// Its name: header `Tenant`, or AMQP's virtual host.
+        /// Name of the tenant, as given in the header `Tenant` or as the AMQP virtual host.
         name: String;
-        /// Messages a second, over all forwarders, within its share.
+        /// Quota: messages per second, over all forwarders, that are within the tenant's share.
         quota_per_s: f64 = 0.0 ..= 10_000_000.0;
-        /// Its part of what is shared, beside the others' weights; 1 where absent.
+        /// Weight of the tenant relative to the others when shared resources are divided; default 1.
         weight: Option<f64> = 0.001 ..= 1_000.0;
-        /// Calls to real servers out at once.
-        slots: Option<Part>;
-        /// Messages held at once.
-        held_messages: Option<Part>;
-        /// Bytes of messages held at once, in units of 1,000.
-        held_kb: Option<Part>;
-        /// Offers taken in; absent, as many as come.
+        /// The tenant's share of concurrent calls to endpoints.
+        slots: Option<Share>;
+        /// The tenant's share of messages held at once.
+        held_messages: Option<Share>;
+        /// The tenant's share of the size of messages held at once, in units of 1,000 bytes.
+        held_kb: Option<Share>;
+        /// Rate limit of submissions; where absent, there is none.
         arrivals: Option<Arrivals>;
     }
 }
 
 section! {
-    /// A tenant's part of what is shared. A quarter of its guarantee is never lent to others.
-    Part {
-        /// So much is its own; absent, by weight.
+    /// A tenant's share of a resource. A quarter of its guarantee is never lent to other tenants.
+    #[schemars(rename = "Part")]
+    Share {
+        /// Amount guaranteed to the tenant; where absent, it follows from the weight.
         guarantee: Option<u32> = 0 ..= 1_000_000_000;
-        /// It never has more; absent, all that is idle.
+        /// Maximum for the tenant; where absent, it may use all that is idle.
         ceiling: Option<u32> = 1 ..= 1_000_000_000;
     }
 }
 
 section! {
-    /// How fast offers or requests may come (GCRA).
+    /// Rate limit of submissions or requests (GCRA).
     Arrivals {
-        /// So many a second.
+        /// Allowed rate per second.
         per_s: f64 = 0.001 ..= 10_000_000.0;
-        /// So many may come at once; a second's worth where absent.
+        /// Number that may arrive at once; default: the number allowed in one second.
         burst: Option<u32> = 1 ..= 10_000_000;
     }
 }
 
 section! {
-    /// Lines for those on call, on standard error.
+    /// Log lines for operators, on standard error.
     Log {
-        /// The least severe lines that are written; `info` where absent.
+        /// The lowest severity of log lines that are written; default `info`.
         level: Option<Level>;
-        /// How a line is written; `text` where absent. Counts from the next start.
+        /// The format of a log line; default `text`. A change takes effect at the next start.
         form: Option<Form>;
     }
 }
@@ -209,47 +210,47 @@
 section! {
     /// AMQP 0-9-1.
     Amqp {
-        /// Where publishers connect; absent, that front is off.
+        /// Address on which publishers connect; where absent, the AMQP front is off.
         listen: Option<SocketAddr>;
-        /// Who may publish, for which tenant.
+        /// Credentials of publishers, each for one tenant.
         tenants: Option<Vec<Publisher>>;
-        /// Partners that are reached through a broker.
+        /// Destinations that are reached through a broker.
         brokers: Option<Vec<Broker>>;
     }
 }
 
 section! {
-    /// Who may publish for a tenant.
+    /// Credentials with which a client may publish for a tenant.
     Publisher {
-        /// The tenant, by name.
+        /// Name of the tenant.
         tenant: String;
-        /// SASL PLAIN.
+        /// User name for SASL PLAIN.
         user: String;
-        /// SASL PLAIN.
+        /// Password for SASL PLAIN.
         password: Secret;
     }
 }
 
 section! {
-    /// A partner's broker, as a service entry of our own.
+    /// The broker of a destination, configured as an endpoint record.
     Broker {
-        /// Its name among the service entries.
+        /// Name of the broker among the endpoint records.
         instanceId: String;
-        /// Where it listens.
+        /// Address on which the broker listens.
         hostPort: SocketAddr;
-        /// Its destination's number.
+        /// Number of the destination.
         cell: u64;
-        /// Its destination's kind; unknown ones take one message a call.
+        /// Kind of the destination; an unknown kind accepts one message per call.
         machineType: String;
-        /// SASL PLAIN.
+        /// User name for SASL PLAIN.
         user: String;
-        /// SASL PLAIN.
+        /// Password for SASL PLAIN.
         password: Secret;
-        /// Virtual host.
+        /// AMQP virtual host.
         vhost: String;
-        /// Exchange; empty for the default one.
+        /// AMQP exchange; empty for the default exchange.
         exchange: String;
-        /// Routing key.
+        /// AMQP routing key.
         routing_key: String;
     }
 }
@@ -257,9 +258,9 @@
 section! {
     /// DNS-SD over TCP.
     DnsSd {
-        /// The resolver that is asked.
+        /// Address of the DNS resolver.
         resolver: SocketAddr;
-        /// The service's name, as `_partner._tcp.example.org`.
+        /// Name of the service, for example `_partner._tcp.example.org`.
         service: String;
     }
 }
@@ -267,68 +268,70 @@
 section! {
     /// The administration API.
     Admin {
-        /// Where it listens.
+        /// Address on which the API listens.
         listen: SocketAddr;
-        /// Who may use it.
+        /// Tokens that give access to the API.
         tokens: Option<Vec<Token>>;
     }
 }
 
 section! {
-    /// The other forwarders of the fleet, over UDP.
+    /// Membership among the forwarders of the fleet, over UDP.
     Membership {
-        /// This forwarder's name, its own within the cluster; 64 bytes at most.
+        /// Name of this forwarder, unique within the cluster; at most 64 bytes.
         name: String;
-        /// The cluster's name; what comes from another is dropped. 64 bytes at most.
+        /// Name of the cluster; datagrams from other clusters are dropped. At most 64 bytes.
         cluster: String;
-        /// Where its socket is bound.
+        /// Address to which the UDP socket is bound.
         listen: SocketAddr;
-        /// Where the others reach it; `listen` where absent.
+        /// Address at which the other members reach this forwarder; default: `listen`.
         advertise: Option<SocketAddr>;
-        /// Members that are asked to let it in; the first forwarder of a cluster has none, or names itself.
+        /// Members that this forwarder asks in order to join; the first of a cluster has none, or names itself.
         seeds: Option<Vec<SocketAddr>>;
-        /// Shared by all members: who does not have it neither joins nor is heard. 16 bytes at least.
+        /// Key shared by all members: a process without it cannot join, and its datagrams are dropped. At least
+        /// 16 bytes.
         key: Option<Secret>;
-        /// One member is probed in so long, in milliseconds; 200 where absent.
+        /// Interval between probes, each of one member, in milliseconds; default 200.
         probe_interval_ms: Option<f64> = 20.0 ..= 60_000.0;
-        /// A suspect is dead after this times log10(members) probe intervals at the least; 3.5 where absent.
+        /// A suspect is declared dead after at least this times log10(members) probe intervals; default 3.5.
         suspicion_multiplier: Option<f64> = 1.0 ..= 100.0;
-        /// Members, by name, that settle who goes out for work (`docs/maintenance.md`): the same at all; absent, nobody does.
+        /// Names of the members that decide which forwarders go out of service for maintenance
+        /// (`docs/maintenance.md`). The list must be the same on all members; where absent, no forwarder goes out.
         voters: Option<Vec<String>>;
     }
 }
 
 section! {
-    /// Who may use the administration API.
+    /// A bearer token of the administration API.
     Token {
         /// The bearer token.
         token: Secret;
-        /// Its name in the history of changes; `token N` where absent.
+        /// Name shown in the history of changes; default `token N`.
         name: Option<String>;
-        /// The tenant that it is for; absent, it sees and changes all.
+        /// Tenant to which the token is limited; where absent, it can read and change everything.
         tenant: Option<String>;
-        /// How fast requests with it may come; a tenant's has 50 a second and 100 at once where absent.
+        /// Rate limit of requests with this token. Default for a tenant's token: 50 per second and 100 at once.
         requests: Option<Arrivals>;
     }
 }
 
-/// Reads a document; all that is wrong with it is told.
+/// Reads a document, or returns all problems found in it.
 pub fn parse(bytes: &[u8]) -> Result<(Document, Node), Problems> {
     let node = tree::read(bytes)?;
     let mut problems = Problems::default();
-    let document = <Document as read::Value>::read(&node, At::Top, &mut problems);
+    let document = <Document as read::Value>::read(&node, Location::Root, &mut problems);
     match document {
-        Some(document) => problems.or((document, node)),
+        Some(document) => problems.into_result((document, node)),
         None => Err(problems),
     }
 }
 
-/// The line of a value, where the document has it.
+/// The line of the value at `path`, if the document contains it.
 pub fn line_of(node: &Node, path: &str) -> Option<u64> {
     let mut node = node;
     for part in path.split(['.', '[']).filter(|part| !part.is_empty()) {
         node = match (&node.value, part.strip_suffix(']')) {
-            (Raw::List(list), Some(place)) => list.get(place.parse::<usize>().ok()?)?,
+            (Raw::List(list), Some(index)) => list.get(index.parse::<usize>().ok()?)?,
             (Raw::Map(map), None) => map.iter().find(|(key, ..)| key == part).map(|(.., value)| value)?,
             _ => return None,
         };
--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -2,16 +2,16 @@
 
 use super::document;
 use super::problem::{Problem, Problems};
-use super::secret::Opened;
+use super::secret::SecretText;
 use crate::membership::{wire, Settings};
 use crate::Micros;
 use std::fmt::Display;
 use std::net::SocketAddr;
 
 /// Bytes of a key at least: a shorter one can be guessed.
-const SHORTEST_KEY: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 /// Each change waits for a majority of them.
-const MOST_VOTERS: usize = 9;
+const MAX_VOTERS: usize = 9;
 
 /// See the module's text.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     /// Who is asked to let it in.
     pub seeds: Vec<SocketAddr>,
     /// Shared by all members.
-    pub key: Option<Opened>,
+    pub key: Option<SecretText>,
     /// One member is probed in so long.
     pub probe_interval: Micros,
     /// See [`Settings::suspicion_multiplier`].
@@ -57,30 +57,30 @@
 }
 
 /// Reads the section; what is wrong with it is told.
-pub fn read(problems: &mut Problems, told: &document::Membership, key: Option<Opened>) -> Membership {
-    for (at, name) in [("membership.name", &told.name), ("membership.cluster", &told.cluster)] {
+pub fn read(problems: &mut Problems, section: &document::Membership, key: Option<SecretText>) -> Membership {
+    for (at, name) in [("membership.name", &section.name), ("membership.cluster", &section.cluster)] {
         if name.is_empty() || name.len() > wire::MAX_NAME {
             let what = format!("{} bytes", name.len());
             problems.add(Problem::new(at, what, format!("write a name of 1 to {} bytes", wire::MAX_NAME)));
         }
     }
-    if told.listen.port() == 0 {
+    if section.listen.port() == 0 {
         let remedy = "write the port that the others are told";
         problems.add(Problem::new("membership.listen", "a port that the system draws", remedy));
     }
-    let advertise = told.advertise.unwrap_or(told.listen);
+    let advertise = section.advertise.unwrap_or(section.listen);
     if advertise.ip().is_unspecified() || advertise.port() == 0 {
         let remedy = "write the address at which the others reach this forwarder";
         problems.add(Problem::new("membership.advertise", format!("{advertise} reaches nobody"), remedy));
     }
-    if advertise.is_ipv4() != told.listen.is_ipv4() {
+    if advertise.is_ipv4() != section.listen.is_ipv4() {
         let remedy = "bind and advertise one family of addresses";
         problems.add(Problem::new("membership.advertise", "another family than listen", remedy));
     }
-    let seeds = told.seeds.clone().unwrap_or_default();
+    let seeds = section.seeds.clone().unwrap_or_default();
     for (place, seed) in seeds.iter().enumerate() {
-        if seed.ip().is_unspecified() || seed.port() == 0 || seed.is_ipv4() != told.listen.is_ipv4() {
-            let what = format!("{seed} cannot be sent to from {}", told.listen);
+        if seed.ip().is_unspecified() || seed.port() == 0 || seed.is_ipv4() != section.listen.is_ipv4() {
+            let what = format!("{seed} cannot be sent to from {}", section.listen);
             problems.add(Problem::new(
                 format!("membership.seeds[{place}]"),
                 what,
@@ -89,15 +89,15 @@
         }
     }
     // An empty secret was told already.
-    let short = |key: &&Opened| (1..SHORTEST_KEY).contains(&key.reveal().len());
+    let short = |key: &&SecretText| (1..MIN_KEY_BYTES).contains(&key.reveal().len());
     if key.as_ref().filter(short).is_some() {
-        let remedy = format!("draw {SHORTEST_KEY} bytes or more, the same for all members");
+        let remedy = format!("draw {MIN_KEY_BYTES} bytes or more, the same for all members");
         problems.add(Problem::new("membership.key", "short enough to be guessed", remedy));
     }
-    let voters = told.voters.clone().unwrap_or_default();
-    if voters.len() > MOST_VOTERS {
+    let voters = section.voters.clone().unwrap_or_default();
+    if voters.len() > MAX_VOTERS {
         let what = format!("{} voters", voters.len());
-        let remedy = format!("name {MOST_VOTERS} at the most: three or five are enough for any fleet");
+        let remedy = format!("name {MAX_VOTERS} at the most: three or five are enough for any fleet");
         problems.add(Problem::new("membership.voters", what, remedy));
     }
     for (place, voter) in voters.iter().enumerate() {
@@ -110,14 +110,16 @@
         }
     }
     Membership {
-        name: told.name.clone(),
-        cluster: told.cluster.clone(),
-        listen: told.listen,
+        name: section.name.clone(),
+        cluster: section.cluster.clone(),
+        listen: section.listen,
         advertise,
         seeds,
         key,
-        probe_interval: Micros::from_ms(told.probe_interval_ms.unwrap_or(200.0)),
-        suspicion_multiplier: told.suspicion_multiplier.unwrap_or(Settings::default().suspicion_multiplier),
+        probe_interval: Micros::from_ms(section.probe_interval_ms.unwrap_or(200.0)),
+        suspicion_multiplier: section
+            .suspicion_multiplier
+            .unwrap_or(Settings::default().suspicion_multiplier),
         voters,
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,6 @@
-//! Configuration: what the program can be told, how a change of it is checked, planned, put in force at once, and
-//! undone. Nothing here opens a socket; files are read by `store` alone. The design: `docs/configuration-design.md`.
+//! Configuration: the settings, and how a change of them is checked, planned, applied atomically and undone. Nothing
+//! here opens a socket; only `store` reads files, and `secret` those of secrets. Design:
+//! `docs/configuration-design.md`.
 
 #[macro_use]
 pub mod read;
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -4,7 +4,7 @@
 use super::document::{self, Class, Document, Form, Level, Log, Repeats, Scope, Tenant};
 use super::members::{self, Membership};
 use super::problem::{Problem, Problems};
-use super::secret::{hex, Files, Opened, Secret, HIDDEN};
+use super::secret::{hex, Secret, SecretFiles, SecretText, REDACTED};
 use crate::net::list::Names;
 use crate::tenancy::rate::Rate;
 use crate::tenancy::{Isolation, Told};
@@ -15,15 +15,15 @@
 use std::net::SocketAddr;
 
 /// Descriptors kept from clients, for all else: journal, listeners, discovery, notices, and some to spare.
-pub const RESERVED: usize = 32;
+pub const RESERVED_DESCRIPTORS: usize = 32;
 /// Connections to real servers at most, besides one for each call: idle ones.
-pub const IDLE_SERVERS: usize = 128;
+pub const MAX_IDLE_ENDPOINT_CONNECTIONS: usize = 128;
 /// Clients have so many places at the least.
-pub const LEAST_CLIENTS: usize = 16;
+pub const MIN_CLIENT_CONNECTIONS: usize = 16;
 
 /// What the platform's file says, as far as operators can set it too.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Base {
+pub struct PlatformConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The discovery agent.
@@ -65,7 +65,7 @@
     /// SASL PLAIN.
     pub user: String,
     /// SASL PLAIN.
-    pub password: Opened,
+    pub password: SecretText,
 }
 
 /// A partner's broker.
@@ -82,7 +82,7 @@
     /// SASL PLAIN.
     pub user: String,
     /// SASL PLAIN.
-    pub password: Opened,
+    pub password: SecretText,
     /// Virtual host.
     pub vhost: String,
     /// Exchange.
@@ -92,13 +92,13 @@
 }
 
 /// Requests to the administration API with a tenant's token, where nothing is told: more than people and scripts need.
-const USUAL_REQUESTS: Rate = Rate { a_second: 50.0, burst: 100 };
+const DEFAULT_TENANT_REQUESTS: Rate = Rate { a_second: 50.0, burst: 100 };
 
 /// Who may use the administration API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Token {
     /// The secret.
-    pub token: Opened,
+    pub token: SecretText,
     /// Its name in the history of changes.
     pub name: String,
     /// Its tenant, by name; none sees all.
@@ -117,7 +117,7 @@
 
         /// What a part is.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Area {
+        pub enum PartKind {
             $($(#[$doc])* $variant),*
         }
 
@@ -127,37 +127,37 @@
             $($(#[$doc])* $variant($type)),*
         }
 
-        impl Area {
+        impl PartKind {
             /// All of them, in the order in which a change takes them.
-            pub const ALL: &'static [Area] = &[$(Area::$variant),*];
+            pub const ALL: &'static [PartKind] = &[$(PartKind::$variant),*];
         }
 
         impl Part {
             /// What it is.
-            pub fn area(&self) -> Area {
+            pub fn kind(&self) -> PartKind {
                 match self {
-                    $(Part::$variant(_) => Area::$variant),*
+                    $(Part::$variant(_) => PartKind::$variant),*
                 }
             }
         }
 
         impl Model {
             /// A copy of a part.
-            pub fn part(&self, area: Area) -> Part {
-                match area {
-                    $(Area::$variant => Part::$variant(self.$field.clone())),*
+            pub fn part(&self, kind: PartKind) -> Part {
+                match kind {
+                    $(PartKind::$variant => Part::$variant(self.$field.clone())),*
                 }
             }
 
             /// Whether a part is the same in another model.
-            pub fn same(&self, other: &Model, area: Area) -> bool {
-                match area {
-                    $(Area::$variant => self.$field == other.$field),*
+            pub fn part_equals(&self, other: &Model, kind: PartKind) -> bool {
+                match kind {
+                    $(PartKind::$variant => self.$field == other.$field),*
                 }
             }
 
             /// Puts a part in.
-            pub fn put(&mut self, part: Part) {
+            pub fn set_part(&mut self, part: Part) {
                 match part {
                     $(Part::$variant(value) => self.$field = value),*
                 }
@@ -201,15 +201,15 @@
 
 /// A value as it may be shown, and what tells it from another where it may not.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shown {
+pub struct DisplayValue {
     /// As text.
     pub text: String,
     /// A secret's salted digest.
-    hidden: Option<String>,
+    secret_digest: Option<String>,
 }
 
 /// All values of a model by path; items of lists by their names.
-pub type Outline = BTreeMap<String, Shown>;
+pub type Outline = BTreeMap<String, DisplayValue>;
 
 /// A value that differs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
@@ -232,23 +232,23 @@
         .collect()
 }
 
-struct Writer<'a>(Outline, &'a [u8]);
+struct OutlineWriter<'a>(Outline, &'a [u8]);
 
-impl Writer<'_> {
+impl OutlineWriter<'_> {
     fn put(&mut self, path: impl Into<String>, value: impl Display) {
-        self.0.insert(path.into(), Shown { text: value.to_string(), hidden: None });
+        self.0.insert(path.into(), DisplayValue { text: value.to_string(), secret_digest: None });
     }
 
-    fn hide(&mut self, path: impl Into<String>, secret: &Opened) {
-        let hidden = Some(secret.digest(self.1));
-        self.0.insert(path.into(), Shown { text: HIDDEN.to_owned(), hidden });
+    fn hide(&mut self, path: impl Into<String>, secret: &SecretText) {
+        let secret_digest = Some(secret.digest(self.1));
+        self.0.insert(path.into(), DisplayValue { text: REDACTED.to_owned(), secret_digest });
     }
 }
 
 impl Model {
-    /// All values by path. Secrets are hidden; `salt` keeps their digests from being guessed at.
+    /// All values by path. Secrets are secret_digest; `salt` keeps their digests from being guessed at.
     pub fn outline(&self, salt: &[u8]) -> Outline {
-        let mut out = Writer(Outline::new(), salt);
+        let mut out = OutlineWriter(Outline::new(), salt);
         out.put("listen", self.listen);
         out.put("discovery", self.discovery);
         let told = &self.core.settings;
@@ -350,8 +350,8 @@
 
 /// What a tenant is told of its parts.
 fn isolation(tenant: &Tenant) -> Isolation {
-    let told = |part: &Option<document::Part>, unit: u64| {
-        let bound = |bound: fn(&document::Part) -> Option<u32>| {
+    let told = |part: &Option<document::Share>, unit: u64| {
+        let bound = |bound: fn(&document::Share) -> Option<u32>| {
             part.as_ref().and_then(bound).map(|bound| u64::from(bound) * unit)
         };
         Told { guarantee: bound(|part| part.guarantee), ceiling: bound(|part| part.ceiling) }
@@ -371,7 +371,7 @@
 }
 
 /// Guarantees that are more than there is, and ceilings below them.
-fn guarantees(problems: &mut Problems, tenants: &[Tenant], key: &str, size: u64) {
+fn check_guarantees(problems: &mut Problems, tenants: &[Tenant], key: &str, size: u64) {
     let part = |tenant: &Tenant| match key {
         "slots" => tenant.slots.clone(),
         "held_messages" => tenant.held_messages.clone(),
@@ -400,7 +400,7 @@
 pub fn digest(outline: &Outline) -> String {
     let mut sum = Sha256::new();
     for (path, shown) in outline {
-        for text in [path, &shown.text, shown.hidden.as_deref().unwrap_or_default()] {
+        for text in [path, &shown.text, shown.secret_digest.as_deref().unwrap_or_default()] {
             sum.update((text.len() as u64).to_le_bytes());
             sum.update(text);
         }
@@ -409,17 +409,19 @@
 }
 
 /// What clients may hold, of so many descriptors with so many slots.
-pub fn for_clients(sockets: usize, slots: u32) -> usize {
-    sockets.saturating_sub(RESERVED + for_servers(slots)).max(LEAST_CLIENTS)
+pub fn client_connection_limit(sockets: usize, slots: u32) -> usize {
+    sockets
+        .saturating_sub(RESERVED_DESCRIPTORS + endpoint_connection_limit(slots))
+        .max(MIN_CLIENT_CONNECTIONS)
 }
 
 /// What real servers may hold.
-pub fn for_servers(slots: u32) -> usize {
-    slots.min(1 << 16) as usize + IDLE_SERVERS
+pub fn endpoint_connection_limit(slots: u32) -> usize {
+    slots.min(1 << 16) as usize + MAX_IDLE_ENDPOINT_CONNECTIONS
 }
 
 /// Lays the operators' file over the platform's. All that is wrong is told; lines are added by who knows the file.
-pub fn merge(base: &Base, document: &Document, files: &dyn Files) -> Result<Model, Problems> {
+pub fn merge(base: &PlatformConfig, document: &Document, files: &dyn SecretFiles) -> Result<Model, Problems> {
     let mut problems = Problems::default();
     let mut settings = base.settings.clone();
     let (mut sockets, mut disk, mut dial_timeout, mut held_bytes) =
@@ -435,7 +437,8 @@
         disk = limits.disk_mb.map_or(disk, |mb| (mb * 1e6) as u64);
         dial_timeout = limits.dial_timeout_ms.map_or(dial_timeout, Micros::from_ms);
         held_bytes = limits.held_mb.map(|mb| (mb * 1e6) as u64);
-        let needed = RESERVED + for_servers(settings.slots) + LEAST_CLIENTS;
+        let needed =
+            RESERVED_DESCRIPTORS + endpoint_connection_limit(settings.slots) + MIN_CLIENT_CONNECTIONS;
         if (limits.sockets.is_some() || limits.slots.is_some()) && sockets < needed {
             let what = format!("{sockets} descriptors do not suffice for {} slots", settings.slots);
             problems.add(Problem::new("limits.sockets", what, format!("allow {needed}, or fewer slots")));
@@ -450,14 +453,14 @@
         if told.is_empty() {
             problems.add(Problem::new("classes", "no class", "name at least one, or leave the key out"));
         }
-        unique(&mut problems, "classes", "name", told.iter().map(|class| class.name.as_str()));
+        check_unique_names(&mut problems, "classes", "name", told.iter().map(|class| class.name.as_str()));
         classes = told.iter().map(|class| class.name.clone()).collect();
         settings.classes =
-            told.iter().enumerate().map(|(place, told)| class(&mut problems, place, told)).collect();
+            told.iter().enumerate().map(|(place, told)| read_class(&mut problems, place, told)).collect();
     }
     let mut tenants = base.tenants.clone();
     if let Some(told) = &document.tenants {
-        unique(&mut problems, "tenants", "name", told.iter().map(|tenant| tenant.name.as_str()));
+        check_unique_names(&mut problems, "tenants", "name", told.iter().map(|tenant| tenant.name.as_str()));
         tenants = told.iter().map(|tenant| tenant.name.clone()).collect();
         settings.tenants = told.iter().map(|tenant| tenant.quota_per_s).collect();
         settings.isolation = told.iter().map(isolation).collect();
@@ -467,7 +470,7 @@
             ("held_kb", held_bytes.unwrap_or(disk) / 1000),
         ];
         for (key, size) in sizes {
-            guarantees(&mut problems, told, key, size);
+            check_guarantees(&mut problems, told, key, size);
         }
     }
     let known: BTreeSet<&str> = tenants.iter().map(String::as_str).collect();
@@ -482,15 +485,15 @@
             problems.add(Problem::new(name, format!("the address of {other}"), "give each its own"));
         }
     }
-    let mut open = |path: String, secret: &Secret| -> Opened {
-        secret.open(files).unwrap_or_else(|problem| {
+    let mut resolve = |path: String, secret: &Secret| -> SecretText {
+        secret.resolve(files).unwrap_or_else(|problem| {
             problems.add(Problem::new(path, problem, "write the secret, or a file that holds it"));
-            Opened::new("")
+            SecretText::new("")
         })
     };
     let mut publishers = Vec::new();
     for (place, one) in amqp.and_then(|amqp| amqp.tenants.as_ref()).into_iter().flatten().enumerate() {
-        let password = open(format!("amqp.tenants[{place}].password"), &one.password);
+        let password = resolve(format!("amqp.tenants[{place}].password"), &one.password);
         publishers.push(Publisher { tenant: one.tenant.clone(), user: one.user.clone(), password });
     }
     let mut brokers = Vec::new();
@@ -502,7 +505,7 @@
             cell: one.cell,
             kind: kinds.iter().position(|known| *known == one.machineType).unwrap_or(kinds.len()),
             user: one.user.clone(),
-            password: open(format!("amqp.brokers[{place}].password"), &one.password),
+            password: resolve(format!("amqp.brokers[{place}].password"), &one.password),
             vhost: one.vhost.clone(),
             exchange: one.exchange.clone(),
             routing_key: one.routing_key.clone(),
@@ -510,35 +513,40 @@
     }
     let mut tokens = Vec::new();
     for (place, one) in document.admin.iter().flat_map(|admin| admin.tokens.iter().flatten()).enumerate() {
-        let token = open(format!("admin.tokens[{place}].token"), &one.token);
+        let token = resolve(format!("admin.tokens[{place}].token"), &one.token);
         let name = one.name.clone().unwrap_or_else(|| format!("token {}", place + 1));
-        let usual = one.tenant.as_ref().map(|_| USUAL_REQUESTS);
+        let usual = one.tenant.as_ref().map(|_| DEFAULT_TENANT_REQUESTS);
         let requests = one.requests.as_ref().map(rate).or(usual);
         tokens.push(Token { token, name, tenant: one.tenant.clone(), requests });
     }
     let told = document.membership.as_ref();
-    let key = told.and_then(|told| told.key.as_ref()).map(|key| open("membership.key".to_owned(), key));
+    let key = told.and_then(|told| told.key.as_ref()).map(|key| resolve("membership.key".to_owned(), key));
     let members = told.map(|told| members::read(&mut problems, told, key));
     for (place, one) in publishers.iter().enumerate().filter(|(_, one)| !known.contains(one.tenant.as_str()))
     {
-        unknown(&mut problems, format!("amqp.tenants[{place}].tenant"), &one.tenant, &known);
+        report_unknown_tenant(&mut problems, format!("amqp.tenants[{place}].tenant"), &one.tenant, &known);
     }
     for (place, one) in tokens.iter().enumerate() {
         if let Some(tenant) = one.tenant.as_deref().filter(|tenant| !known.contains(tenant)) {
-            unknown(&mut problems, format!("admin.tokens[{place}].tenant"), tenant, &known);
+            report_unknown_tenant(&mut problems, format!("admin.tokens[{place}].tenant"), tenant, &known);
         }
         if tokens[..place].iter().any(|other| other.token == one.token) {
             let path = format!("admin.tokens[{place}].token");
             problems.add(Problem::new(path, "the same as another token", "give each its own"));
         }
     }
-    unique(&mut problems, "amqp.tenants", "user", publishers.iter().map(|one| one.user.as_str()));
-    unique(&mut problems, "amqp.brokers", "instanceId", brokers.iter().map(|one| one.name.as_str()));
-    unique(&mut problems, "admin.tokens", "name", tokens.iter().map(|one| one.name.as_str()));
+    check_unique_names(&mut problems, "amqp.tenants", "user", publishers.iter().map(|one| one.user.as_str()));
+    check_unique_names(
+        &mut problems,
+        "amqp.brokers",
+        "instanceId",
+        brokers.iter().map(|one| one.name.as_str()),
+    );
+    check_unique_names(&mut problems, "admin.tokens", "name", tokens.iter().map(|one| one.name.as_str()));
     let log = document.log.as_ref();
     let log = |pick: fn(&Log) -> Option<Level>| log.and_then(pick).unwrap_or(Level::Info);
     let form = document.log.as_ref().and_then(|log| log.form).unwrap_or(Form::Text);
-    problems.or(Model {
+    problems.into_result(Model {
         sockets,
         listen,
         amqp_listen,
@@ -557,13 +565,18 @@
     })
 }
 
-fn unknown(problems: &mut Problems, path: String, name: &str, known: &BTreeSet<&str>) {
+fn report_unknown_tenant(problems: &mut Problems, path: String, name: &str, known: &BTreeSet<&str>) {
     let list: Vec<&str> = known.iter().copied().take(20).collect();
     let remedy = format!("name one of the tenants: {}", list.join(", "));
     problems.add(Problem::new(path, format!("no tenant {name}"), remedy));
 }
 
-fn unique<'a>(problems: &mut Problems, path: &str, key: &str, names: impl Iterator<Item = &'a str>) {
+fn check_unique_names<'a>(
+    problems: &mut Problems,
+    path: &str,
+    key: &str,
+    names: impl Iterator<Item = &'a str>,
+) {
     let mut seen = HashMap::new();
     for (place, name) in names.enumerate() {
         if let Some(first) = seen.insert(name, place) {
@@ -576,7 +589,7 @@
     }
 }
 
-fn class(problems: &mut Problems, place: usize, told: &Class) -> ClassSettings {
+fn read_class(problems: &mut Problems, place: usize, told: &Class) -> ClassSettings {
     let path = |key: &str| format!("classes[{place}].{key}");
     if told.aim_ms > told.deadline_ms {
         problems.add(Problem::new(path("aim_ms"), "longer than deadline_ms", "aim before the deadline"));
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -1,6 +1,6 @@
 //! From one model to another: the steps, each with its undo, and what cannot change in a running process.
 
-use super::model::{Area, Model, Part};
+use super::model::{Model, Part, PartKind};
 use super::problem::{Problem, Problems};
 use crate::Effect;
 use std::collections::HashMap;
@@ -17,8 +17,8 @@
 
 impl Step {
     /// What it changes.
-    pub fn area(&self) -> Area {
-        self.to.area()
+    pub fn kind(&self) -> PartKind {
+        self.to.kind()
     }
 
     /// The step that takes it back.
@@ -28,15 +28,15 @@
 
     /// Does it to a model.
     pub fn apply(&self, model: &mut Model) {
-        debug_assert!(model.part(self.area()) == self.from, "a step meets what it was made for");
-        model.put(self.to.clone());
+        debug_assert!(model.part(self.kind()) == self.from, "a step meets what it was made for");
+        model.set_part(self.to.clone());
     }
 }
 
 /// The steps from one model to another, or why there is no way in a running process. Cost: the size of the models.
 pub fn plan(from: &Model, to: &Model) -> Result<Vec<Step>, Problems> {
     let mut problems = Problems::default();
-    if !from.same(to, Area::Names) {
+    if !from.part_equals(to, PartKind::Names) {
         problems.add(Problem::new(
             "platform",
             "kinds and zones cannot change while the process runs",
@@ -61,7 +61,7 @@
             ));
         }
     }
-    let changed = Area::ALL.iter().filter(|area| !from.same(to, **area));
-    let steps = changed.map(|&area| Step { from: from.part(area), to: to.part(area) }).collect();
-    problems.or(steps)
+    let changed = PartKind::ALL.iter().filter(|kind| !from.part_equals(to, **kind));
+    let steps = changed.map(|&kind| Step { from: from.part(kind), to: to.part(kind) }).collect();
+    problems.into_result(steps)
 }
--- a/src/config/problem.rs
+++ b/src/config/problem.rs
@@ -36,43 +36,43 @@
     }
 }
 
-/// The problems of one check, bounded: a file of nothing but errors is not told line by line.
+/// The problems of one check, bounded: a file of nothing but errors is not listed line by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems {
-    told: Vec<Problem>,
-    more: usize,
+    listed: Vec<Problem>,
+    omitted: usize,
 }
 
-/// Problems told of one check at most; the rest is counted.
-pub const MOST: usize = 100;
+/// Problems listed of one check at most; the rest is counted.
+pub const MAX_LISTED: usize = 100;
 
 impl Problems {
     /// One more.
     pub fn add(&mut self, problem: Problem) {
-        if self.told.len() < MOST {
-            self.told.push(problem);
+        if self.listed.len() < MAX_LISTED {
+            self.listed.push(problem);
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
 
     /// None.
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.listed.is_empty()
     }
 
-    /// All that are told.
+    /// All that are listed.
     pub fn list(&self) -> &[Problem] {
-        &self.told
+        &self.listed
     }
 
     /// How many there are besides.
-    pub fn more(&self) -> usize {
-        self.more
+    pub fn omitted(&self) -> usize {
+        self.omitted
     }
 
     /// The value where there is no problem.
-    pub fn or<T>(self, value: T) -> Result<T, Problems> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Problems> {
         if self.is_empty() {
             Ok(value)
         } else {
@@ -83,17 +83,17 @@
 
 impl From<Problem> for Problems {
     fn from(problem: Problem) -> Problems {
-        Problems { told: vec![problem], more: 0 }
+        Problems { listed: vec![problem], omitted: 0 }
     }
 }
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (place, problem) in self.told.iter().enumerate() {
+        for (place, problem) in self.listed.iter().enumerate() {
             write!(f, "{}{problem}", if place == 0 { "" } else { "\n" })?;
         }
-        if self.more > 0 {
-            write!(f, "\nand {} more", self.more)?;
+        if self.omitted > 0 {
+            write!(f, "\nand {} more", self.omitted)?;
         }
         Ok(())
     }
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -7,36 +7,36 @@
 use std::net::SocketAddr;
 
 /// Items of one list at most.
-pub const MOST_ITEMS: usize = 10_000;
+pub const MAX_LIST_ITEMS: usize = 10_000;
 /// Longest text.
-pub const LONGEST_TEXT: usize = 1024;
+pub const MAX_TEXT_BYTES: usize = 1024;
 /// An unknown key names a known one only where they are so alike (Jaro-Winkler).
-const ALIKE: f64 = 0.75;
+const MIN_KEY_SIMILARITY: f64 = 0.75;
 
 /// Where a value stands: kept while descending, written out only for a problem.
 #[derive(Clone, Copy)]
-pub enum At<'a> {
+pub enum Location<'a> {
     /// The whole document.
-    Top,
+    Root,
     /// A key of a section.
-    Key(&'a At<'a>, &'a str),
+    Key(&'a Location<'a>, &'a str),
     /// An item of a list.
-    Item(&'a At<'a>, usize),
+    Item(&'a Location<'a>, usize),
 }
 
-impl At<'_> {
+impl Location<'_> {
     /// As text.
     pub fn path(&self) -> String {
         match self {
-            At::Top => String::new(),
-            At::Key(At::Top, key) => (*key).to_owned(),
-            At::Key(above, key) => format!("{}.{key}", above.path()),
-            At::Item(above, place) => format!("{}[{place}]", above.path()),
+            Location::Root => String::new(),
+            Location::Key(Location::Root, key) => (*key).to_owned(),
+            Location::Key(above, key) => format!("{}.{key}", above.path()),
+            Location::Item(above, place) => format!("{}[{place}]", above.path()),
         }
     }
 
     /// A problem at this place.
-    pub fn wrong(&self, line: u64, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
+    pub fn problem(&self, line: u64, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
         let line = (line > 0).then_some(line);
         Problem { line, ..Problem::new(self.path(), what, remedy) }
     }
@@ -45,10 +45,10 @@
 /// A type that a value can be read as. What is wrong is told, and there is no value then.
 pub trait Value: Sized {
     /// Reads it.
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self>;
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self>;
 
     /// As a number, where it has bounds.
-    fn number(&self) -> Option<f64> {
+    fn as_number(&self) -> Option<f64> {
         None
     }
 }
@@ -56,103 +56,103 @@
 /// A key of a section: needed, or optional where its type is an `Option`.
 pub trait Field: Sized {
     /// Reads it; `None` where there is no usable value.
-    fn take(node: Option<&Node>, at: At, line: u64, problems: &mut Problems) -> Option<Self>;
+    fn read_field(node: Option<&Node>, at: Location, line: u64, problems: &mut Problems) -> Option<Self>;
 
     /// As a number, where it has bounds and is there.
-    fn figure(&self) -> Option<f64>;
+    fn bounded_number(&self) -> Option<f64>;
 }
 
 impl<T: Value> Field for Option<T> {
-    fn take(node: Option<&Node>, at: At, _: u64, problems: &mut Problems) -> Option<Self> {
+    fn read_field(node: Option<&Node>, at: Location, _: u64, problems: &mut Problems) -> Option<Self> {
         match node {
             None | Some(Node { value: Raw::Null, .. }) => Some(None),
             Some(node) => T::read(node, at, problems).map(Some),
         }
     }
 
-    fn figure(&self) -> Option<f64> {
-        self.as_ref().and_then(Value::number)
+    fn bounded_number(&self) -> Option<f64> {
+        self.as_ref().and_then(Value::as_number)
     }
 }
 
 impl<T: Value> Field for T {
-    fn take(node: Option<&Node>, at: At, line: u64, problems: &mut Problems) -> Option<Self> {
+    fn read_field(node: Option<&Node>, at: Location, line: u64, problems: &mut Problems) -> Option<Self> {
         match node {
             Some(node) => T::read(node, at, problems),
             None => {
-                problems.add(at.wrong(line, "missing", "add it"));
+                problems.add(at.problem(line, "missing", "add it"));
                 None
             }
         }
     }
 
-    fn figure(&self) -> Option<f64> {
-        self.number()
+    fn bounded_number(&self) -> Option<f64> {
+        self.as_number()
     }
 }
 
-fn other<T>(node: &Node, at: At, problems: &mut Problems, wanted: &str) -> Option<T> {
+fn wrong_type<T>(node: &Node, at: Location, problems: &mut Problems, wanted: &str) -> Option<T> {
     let quotes = wanted.contains("text") && !matches!(node.value, Raw::List(_) | Raw::Map(_) | Raw::Null);
     let remedy = if quotes { "put it in quotes".to_owned() } else { format!("write {wanted}") };
-    problems.add(at.wrong(node.line, format!("{} where {wanted} is needed", node.value.kind()), remedy));
+    problems.add(at.problem(node.line, format!("{} where {wanted} is needed", node.value.kind()), remedy));
     None
 }
 
-macro_rules! whole {
+macro_rules! integer {
     ($($type:ty),*) => {$(
         impl Value for $type {
-            fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
+            fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
                 let whole = match node.value {
-                    Raw::Whole(whole) => Some(whole),
+                    Raw::Integer(whole) => Some(whole),
                     Raw::Number(number) if number.fract() == 0.0 && number.abs() < 9e15 => Some(number as i128),
-                    _ => return other(node, at, problems, "a whole number"),
+                    _ => return wrong_type(node, at, problems, "a whole number"),
                 };
                 let value = whole.and_then(|whole| Self::try_from(whole).ok());
                 if value.is_none() {
                     let remedy = format!("stay within {} to {}", Self::MIN, Self::MAX);
-                    problems.add(at.wrong(node.line, "out of range", remedy));
+                    problems.add(at.problem(node.line, "out of range", remedy));
                 }
                 value
             }
 
-            fn number(&self) -> Option<f64> {
+            fn as_number(&self) -> Option<f64> {
                 Some(*self as f64)
             }
         }
     )*};
 }
 
-whole!(u16, u32, u64);
+integer!(u16, u32, u64);
 
 impl Value for f64 {
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
         match node.value {
-            Raw::Whole(whole) => Some(whole as f64),
+            Raw::Integer(whole) => Some(whole as f64),
             Raw::Number(number) if number.is_finite() => Some(number),
-            _ => other(node, at, problems, "a finite number"),
+            _ => wrong_type(node, at, problems, "a finite number"),
         }
     }
 
-    fn number(&self) -> Option<f64> {
+    fn as_number(&self) -> Option<f64> {
         Some(*self)
     }
 }
 
 impl Value for bool {
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
         match node.value {
             Raw::Bool(flag) => Some(flag),
-            _ => other(node, at, problems, "true or false"),
+            _ => wrong_type(node, at, problems, "true or false"),
         }
     }
 }
 
 impl Value for String {
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
-        let Raw::Text(text) = &node.value else { return other(node, at, problems, "text") };
-        if text.len() > LONGEST_TEXT || text.chars().any(char::is_control) {
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
+        let Raw::Text(text) = &node.value else { return wrong_type(node, at, problems, "text") };
+        if text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
             let what = "text that is too long or holds control characters";
-            problems.add(at.wrong(node.line, what, format!("keep it within {LONGEST_TEXT} plain bytes")));
+            problems.add(at.problem(node.line, what, format!("keep it within {MAX_TEXT_BYTES} plain bytes")));
             return None;
         }
         Some(text.clone())
@@ -160,95 +160,101 @@
 }
 
 impl Value for SocketAddr {
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
         let text = match &node.value {
             Raw::Text(text) => text,
-            _ => return other(node, at, problems, "text: an address and a port"),
+            _ => return wrong_type(node, at, problems, "text: an address and a port"),
         };
         let address = text.parse().ok();
         if address.is_none() {
             let remedy = "write an IP address and a port, as 127.0.0.1:7070 or [::1]:7070";
-            problems.add(at.wrong(node.line, "no address", remedy));
+            problems.add(at.problem(node.line, "not an address", remedy));
         }
         address
     }
 }
 
 impl Value for Secret {
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
         match &node.value {
             Raw::Text(text) if text.is_empty() => {
-                problems.add(at.wrong(node.line, "an empty secret lets everybody in", "write one"));
+                problems.add(at.problem(
+                    node.line,
+                    "an empty secret would give access to everyone",
+                    "write one",
+                ));
                 None
             }
-            Raw::Text(_) => String::read(node, at, problems).map(Secret::given),
+            Raw::Text(_) => String::read(node, at, problems).map(Secret::inline),
             Raw::Map(map) => match &map[..] {
                 [(key, _, file)] if key == "file" => {
-                    String::read(file, At::Key(&at, "file"), problems).map(Secret::in_file)
+                    String::read(file, Location::Key(&at, "file"), problems).map(Secret::in_file)
                 }
-                _ => other(node, at, problems, "text, or a section with the one key file"),
+                _ => wrong_type(node, at, problems, "text, or a section with the one key file"),
             },
-            _ => other(node, at, problems, "text, or a section with the one key file"),
+            _ => wrong_type(node, at, problems, "text, or a section with the one key file"),
         }
     }
 }
 
 impl<T: Value> Value for Vec<T> {
-    fn read(node: &Node, at: At, problems: &mut Problems) -> Option<Self> {
-        let Raw::List(list) = &node.value else { return other(node, at, problems, "a list") };
-        if list.len() > MOST_ITEMS {
-            problems.add(at.wrong(node.line, "too many items", format!("keep it within {MOST_ITEMS}")));
+    fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self> {
+        let Raw::List(list) = &node.value else { return wrong_type(node, at, problems, "a list") };
+        if list.len() > MAX_LIST_ITEMS {
+            problems.add(at.problem(node.line, "too many items", format!("keep it within {MAX_LIST_ITEMS}")));
             return None;
         }
         // All of them are read, so that the problems of each are told.
-        let read = list.iter().enumerate().map(|(place, one)| T::read(one, At::Item(&at, place), problems));
+        let read =
+            list.iter().enumerate().map(|(place, one)| T::read(one, Location::Item(&at, place), problems));
         let read: Vec<Option<T>> = read.collect();
         read.into_iter().collect()
     }
 }
 
 /// The pairs of a section. Told here: what is no section, a key that stands twice, a key that nothing is known of.
-pub fn keys<'a>(
+pub fn section_keys<'a>(
     node: &'a Node,
-    at: At,
+    at: Location,
     known: &[&str],
     problems: &mut Problems,
 ) -> Option<Vec<(&'a str, &'a Node)>> {
-    let Raw::Map(map) = &node.value else { return other(node, at, problems, "a section") };
+    let Raw::Map(map) = &node.value else { return wrong_type(node, at, problems, "a section") };
     let mut found: Vec<(&str, &Node)> = Vec::new();
     let mut lines = std::collections::HashMap::new();
     for (key, line, value) in map {
         if let Some(first) = lines.insert(key.as_str(), *line) {
-            let what = format!("stands here and on line {first}");
-            problems.add(At::Key(&at, key).wrong(*line, what, "keep one of them"));
+            let what = format!("also defined on line {first}");
+            problems.add(Location::Key(&at, key).problem(*line, what, "keep one of them"));
         } else if known.contains(&key.as_str()) {
             found.push((key, value));
         } else {
             let near = known.iter().map(|name| (strsim::jaro_winkler(key, name), *name));
-            let near = near.filter(|(alike, _)| *alike >= ALIKE).max_by(|a, b| a.0.total_cmp(&b.0));
+            let near =
+                near.filter(|(alike, _)| *alike >= MIN_KEY_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0));
             let remedy = match near {
                 Some((_, name)) => format!("did you mean {name}?"),
                 None => format!("known here: {}", known.join(", ")),
             };
             // A key can be a secret in the wrong place, but only a short plain one is repeated.
             let shown: String = key.chars().filter(|c| c.is_ascii_graphic()).take(40).collect();
-            problems.add(At::Key(&at, &shown).wrong(*line, "unknown key", remedy));
+            problems.add(Location::Key(&at, &shown).problem(*line, "unknown key", remedy));
         }
     }
     Some(found)
 }
 
-/// Tells a figure that is out of its bounds.
-pub fn within(
-    figure: Option<f64>,
+/// Tells a number that is out of its bounds.
+pub fn check_bounds(
+    number: Option<f64>,
     (low, high): (f64, f64),
-    at: At,
+    at: Location,
     line: u64,
     problems: &mut Problems,
 ) -> bool {
-    let good = figure.is_none_or(|figure| (low..=high).contains(&figure));
+    let good = number.is_none_or(|number| (low..=high).contains(&number));
     if !good {
-        problems.add(at.wrong(line, "out of bounds", format!("stay within {low} to {high}")));
+        problems.add(at.problem(line, "out of bounds", format!("stay within {low} to {high}")));
     }
     good
 }
@@ -258,14 +264,14 @@
     ($(#[$doc:meta])* $name:ident {
         $($(#[$meaning:meta])* $key:ident : $type:ty $(= $low:literal ..= $high:literal)?;)*
     }) => {
-        $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, serde::Serialize, schemars::JsonSchema)]
         #[schemars(deny_unknown_fields)]
+        $(#[$doc])*
         pub struct $name {
             $(
                 $(#[$meaning])*
                 $(#[schemars(range(min = $low, max = $high))])?
-                #[serde(skip_serializing_if = "crate::config::read::is_none")]
+                #[serde(skip_serializing_if = "crate::config::read::is_null")]
                 pub $key: $type,
             )*
         }
@@ -273,21 +279,21 @@
         impl crate::config::read::Value for $name {
             fn read(
                 node: &crate::config::tree::Node,
-                at: crate::config::read::At,
+                at: crate::config::read::Location,
                 problems: &mut crate::config::problem::Problems,
             ) -> Option<Self> {
-                use crate::config::read::{keys, At, Field};
-                let found = keys(node, at, &[$(stringify!($key)),*], problems)?;
+                use crate::config::read::{section_keys, Location, Field};
+                let found = section_keys(node, at, &[$(stringify!($key)),*], problems)?;
                 $(
                     let name = stringify!($key);
                     let value = found.iter().find(|(key, _)| *key == name).map(|(_, node)| *node);
-                    let here = At::Key(&at, name);
-                    let $key: Option<$type> = Field::take(value, here, node.line, problems);
+                    let here = Location::Key(&at, name);
+                    let $key: Option<$type> = Field::read_field(value, here, node.line, problems);
                     $(
                         let line = value.map_or(node.line, |node| node.line);
-                        let figure = $key.as_ref().and_then(Field::figure);
+                        let number = $key.as_ref().and_then(Field::bounded_number);
                         let bounds = (f64::from($low), f64::from($high));
-                        let good = crate::config::read::within(figure, bounds, here, line, problems);
+                        let good = crate::config::read::check_bounds(number, bounds, here, line, problems);
                         let $key = $key.filter(|_| good);
                     )?
                 )*
@@ -298,7 +304,7 @@
 }
 
 /// Whether a value is left out of what is printed.
-pub fn is_none<T: serde::Serialize>(value: &T) -> bool {
+pub fn is_null<T: serde::Serialize>(value: &T) -> bool {
     // Only an absent option is printed as null.
     serde_json::to_value(value).is_ok_and(|value| value.is_null())
 }
--- a/src/config/secret.rs
+++ b/src/config/secret.rs
@@ -7,9 +7,9 @@
 use std::fmt;
 
 /// What stands in the place of a secret, wherever one would be printed.
-pub const HIDDEN: &str = "(secret)";
+pub const REDACTED: &str = "(secret)";
 /// Bytes of a secret's file at most.
-pub const LONGEST: usize = 4096;
+pub const MAX_SECRET_BYTES: usize = 4096;
 
 /// A secret as it is written.
 #[derive(Clone, PartialEq, Eq)]
@@ -17,28 +17,28 @@
 
 #[derive(Clone, PartialEq, Eq)]
 enum Source {
-    Given(String),
+    Inline(String),
     InFile(String),
 }
 
 /// Reads the files that secrets are in; a test's keeps them in memory.
-pub trait Files {
+pub trait SecretFiles {
     /// The text of a file, or why there is none.
     fn read(&self, path: &str) -> Result<String, String>;
 }
 
 /// The files of this machine.
-pub struct Disk;
+pub struct DiskFiles;
 
-impl Files for Disk {
+impl SecretFiles for DiskFiles {
     fn read(&self, path: &str) -> Result<String, String> {
         use std::io::Read;
         let file = std::fs::File::open(path).map_err(|problem| problem.to_string())?;
         let mut text = String::new();
-        let read = file.take(LONGEST as u64 + 1).read_to_string(&mut text);
+        let read = file.take(MAX_SECRET_BYTES as u64 + 1).read_to_string(&mut text);
         read.map_err(|problem| problem.kind().to_string())?;
-        if text.len() > LONGEST {
-            return Err(format!("longer than {LONGEST} bytes"));
+        if text.len() > MAX_SECRET_BYTES {
+            return Err(format!("longer than {MAX_SECRET_BYTES} bytes"));
         }
         Ok(text)
     }
@@ -46,8 +46,8 @@
 
 impl Secret {
     /// One that stands in the file itself.
-    pub fn given(text: String) -> Secret {
-        Secret(Source::Given(text))
+    pub fn inline(text: String) -> Secret {
+        Secret(Source::Inline(text))
     }
 
     /// One in a file of its own.
@@ -56,9 +56,9 @@
     }
 
     /// The secret itself. A line's end at the end of its file is not part of it.
-    pub fn open(&self, files: &dyn Files) -> Result<Opened, String> {
+    pub fn resolve(&self, files: &dyn SecretFiles) -> Result<SecretText, String> {
         let text = match &self.0 {
-            Source::Given(text) => text.clone(),
+            Source::Inline(text) => text.clone(),
             Source::InFile(path) => {
                 let text = files.read(path).map_err(|problem| format!("{path}: {problem}"))?;
                 let text = text.strip_suffix('\n').unwrap_or(&text);
@@ -68,20 +68,20 @@
         if text.is_empty() {
             return Err("the secret is empty".to_owned());
         }
-        Ok(Opened(text))
+        Ok(SecretText(text))
     }
 }
 
 impl fmt::Debug for Secret {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(HIDDEN)
+        f.write_str(REDACTED)
     }
 }
 
 impl Serialize for Secret {
     fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
         match &self.0 {
-            Source::Given(_) => out.serialize_str(HIDDEN),
+            Source::Inline(_) => out.serialize_str(REDACTED),
             Source::InFile(path) => std::collections::BTreeMap::from([("file", path)]).serialize(out),
         }
     }
@@ -106,12 +106,12 @@
 
 /// A secret that is in use.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Opened(String);
+pub struct SecretText(String);
 
-impl Opened {
+impl SecretText {
     /// One made in a test or by the platform.
-    pub fn new(text: impl Into<String>) -> Opened {
-        Opened(text.into())
+    pub fn new(text: impl Into<String>) -> SecretText {
+        SecretText(text.into())
     }
 
     /// The secret itself, for the one place that needs it.
@@ -119,22 +119,22 @@
         &self.0
     }
 
-    /// Whether a told text is it, in a time that does not depend on where they differ.
-    pub fn matches(&self, told: &[u8]) -> bool {
+    /// Whether a candidate text is it, in a time that does not depend on where they differ.
+    pub fn matches(&self, candidate: &[u8]) -> bool {
         let digest = |bytes: &[u8]| Sha256::digest(bytes);
-        let (one, other) = (digest(told), digest(self.0.as_bytes()));
+        let (one, other) = (digest(candidate), digest(self.0.as_bytes()));
         one.iter().zip(other.iter()).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0
     }
 }
 
-impl fmt::Debug for Opened {
+impl fmt::Debug for SecretText {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(HIDDEN)
+        f.write_str(REDACTED)
     }
 }
 
 /// A digest that tells one from another within an installation, and nothing else: `salt` is known to it alone.
-impl Opened {
+impl SecretText {
     /// As hexadecimal text.
     pub fn digest(&self, salt: &[u8]) -> String {
         hex(&Sha256::new().chain_update(salt).chain_update(self.0.as_bytes()).finalize())
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -11,11 +11,11 @@
 use std::os::unix::fs::{FileExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-const NAME: &str = "config.versions";
-const NEXT: &str = "config.versions.new";
+const FILE_NAME: &str = "config.versions";
+const NEW_FILE_NAME: &str = "config.versions.new";
 
 /// Share of the folder's bytes that versions take: two files at the moment of a change, beside the journal's two.
-pub fn bound(disk: u64) -> usize {
+pub fn max_versions_bytes(disk: u64) -> usize {
     (disk / 25) as usize
 }
 
@@ -30,31 +30,39 @@
 impl Store {
     /// Reads what is kept; nothing is an empty history with a new salt.
     pub fn open(folder: &Path, disk: u64) -> (Store, Versions) {
-        let _ = fs::remove_file(folder.join(NEXT));
-        let bytes = fs::read(folder.join(NAME)).unwrap_or_default();
-        let found = Versions::decode(&bytes, bound(disk));
+        let _ = fs::remove_file(folder.join(NEW_FILE_NAME));
+        let bytes = fs::read(folder.join(FILE_NAME)).unwrap_or_default();
+        let decoded = Versions::decode(&bytes, max_versions_bytes(disk));
         // What follows a torn line would never be read: such a file is written anew with the next change.
-        let written =
-            found.as_ref().filter(|(_, good)| *good == bytes.len()).map(|(versions, _)| versions.clone());
+        let written = decoded
+            .as_ref()
+            .filter(|(_, valid_bytes)| *valid_bytes == bytes.len())
+            .map(|(versions, _)| versions.clone());
         let store = Store { folder: folder.to_owned(), written, size: bytes.len() as u64 };
-        (store, found.map_or_else(|| Versions::new(salt(), bound(disk)), |(versions, _)| versions))
+        (
+            store,
+            decoded.map_or_else(
+                || Versions::new(random_salt(), max_versions_bytes(disk)),
+                |(versions, _)| versions,
+            ),
+        )
     }
 
     /// Whether a file is there.
     pub fn exists(folder: &Path) -> bool {
-        folder.join(NAME).exists()
+        folder.join(FILE_NAME).exists()
     }
 
     /// Puts these in the place of those before, or nothing of them. The file holds secrets: it is the user's alone.
-    pub fn write(&mut self, versions: &Versions, between: impl FnOnce()) -> Result<(), Problem> {
-        let lines = self.written.as_ref().map(|written| versions.since(written));
+    pub fn write(&mut self, versions: &Versions, before_commit: impl FnOnce()) -> Result<(), Problem> {
+        let lines = self.written.as_ref().map(|written| versions.lines_since(written));
         let fits = |lines: &Vec<u8>| self.size + lines.len() as u64 <= versions.bound() as u64;
-        let put = match lines.filter(fits) {
-            Some(lines) => self.append(&lines, between),
-            None => self.replace(&versions.encode(), between),
+        let result = match lines.filter(fits) {
+            Some(lines) => self.append(&lines, before_commit),
+            None => self.replace(&versions.encode(), before_commit),
         };
-        self.written = put.is_ok().then(|| versions.clone());
-        put.map_err(|problem| {
+        self.written = result.is_ok().then(|| versions.clone());
+        result.map_err(|problem| {
             Problem::new(
                 "",
                 format!("the version cannot be written: {problem}"),
@@ -63,9 +71,9 @@
         })
     }
 
-    fn append(&mut self, lines: &[u8], between: impl FnOnce()) -> io::Result<()> {
-        let file = OpenOptions::new().write(true).open(self.folder.join(NAME))?;
-        between();
+    fn append(&mut self, lines: &[u8], before_commit: impl FnOnce()) -> io::Result<()> {
+        let file = OpenOptions::new().write(true).open(self.folder.join(FILE_NAME))?;
+        before_commit();
         if let Err(problem) = file.write_all_at(lines, self.size) {
             // Some of it may be there: a start must not find it.
             let _ = file.set_len(self.size);
@@ -75,24 +83,24 @@
         Ok(())
     }
 
-    fn replace(&mut self, bytes: &[u8], between: impl FnOnce()) -> io::Result<()> {
-        let next = self.folder.join(NEXT);
-        let put = || {
+    fn replace(&mut self, bytes: &[u8], before_commit: impl FnOnce()) -> io::Result<()> {
+        let next = self.folder.join(NEW_FILE_NAME);
+        let result = || {
             let file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&next)?;
             file.write_all_at(bytes, 0)?;
-            between();
-            fs::rename(&next, self.folder.join(NAME))
+            before_commit();
+            fs::rename(&next, self.folder.join(FILE_NAME))
         };
-        let put = put();
-        match &put {
+        let result = result();
+        match &result {
             Ok(()) => self.size = bytes.len() as u64,
             Err(_) => drop(fs::remove_file(&next)),
         }
-        put
+        result
     }
 }
 
-fn salt() -> String {
+fn random_salt() -> String {
     let mut bytes = [0; 16];
     // Without it, digests of secrets could be guessed at by who sees them; nothing else depends on it.
     let _ = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
--- a/src/config/transaction.rs
+++ b/src/config/transaction.rs
@@ -21,33 +21,33 @@
 }
 
 /// What a change is put in force on.
-pub trait Ground {
+pub trait ChangeTarget {
     /// What a prepared step holds: a bound listener, an opened file. Dropping it lets go of it.
-    type Held;
+    type Prepared;
 
     /// Does all of a step that can fail, and changes nothing that anybody sees.
-    fn prepare(&mut self, step: &Step) -> Result<Self::Held, Problem>;
+    fn prepare(&mut self, step: &Step) -> Result<Self::Prepared, Problem>;
 
     /// Lets go of a prepared step.
-    fn release(&mut self, step: &Step, held: Self::Held);
+    fn release(&mut self, step: &Step, held: Self::Prepared);
 
     /// Writes the version: from here on, a start runs it.
     fn record(&mut self) -> Result<(), Problem>;
 
     /// Puts a prepared step in force.
-    fn commit(&mut self, step: &Step, held: Self::Held);
+    fn commit(&mut self, step: &Step, held: Self::Prepared);
 
     /// Passes a point.
-    fn pass(&mut self, _: Point) {}
+    fn reach(&mut self, _: Point) {}
 }
 
-/// Puts steps in force on a ground, or none of them.
-pub fn run<G: Ground>(ground: &mut G, steps: &[Step]) -> Result<(), Problem> {
-    let mut prepared: Vec<G::Held> = Vec::with_capacity(steps.len());
+/// Puts steps in force on a target, or none of them.
+pub fn run<G: ChangeTarget>(target: &mut G, steps: &[Step]) -> Result<(), Problem> {
+    let mut prepared: Vec<G::Prepared> = Vec::with_capacity(steps.len());
     let mut failure = None;
     for (place, step) in steps.iter().enumerate() {
-        ground.pass(Point::Prepare(place));
-        match ground.prepare(step) {
+        target.reach(Point::Prepare(place));
+        match target.prepare(step) {
             Ok(held) => prepared.push(held),
             Err(problem) => {
                 failure = Some(problem);
@@ -56,22 +56,22 @@
         }
     }
     if failure.is_none() {
-        ground.pass(Point::Record);
-        failure = ground.record().err();
+        target.reach(Point::Record);
+        failure = target.record().err();
     }
     if let Some(problem) = failure {
         while let Some(held) = prepared.pop() {
             let place = prepared.len();
-            ground.pass(Point::Release(place));
-            ground.release(&steps[place], held);
+            target.reach(Point::Release(place));
+            target.release(&steps[place], held);
         }
         return Err(problem);
     }
     for (place, (step, held)) in steps.iter().zip(prepared).enumerate() {
-        ground.pass(Point::Commit(place));
-        ground.commit(step, held);
+        target.reach(Point::Commit(place));
+        target.commit(step, held);
     }
-    ground.pass(Point::Done);
+    target.reach(Point::Done);
     Ok(())
 }
 
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -7,11 +7,11 @@
 use std::fmt;
 
 /// Bytes of a document at most.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 /// Nesting at most: the model needs five.
-const DEEPEST: usize = 32;
+const MAX_DEPTH: usize = 32;
 /// Values at most, those that aliases repeat included.
-const MOST_VALUES: usize = 100_000;
+const MAX_VALUES: usize = 100_000;
 
 /// A value and the line that it starts on.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     /// True or false.
     Bool(bool),
     /// A whole number.
-    Whole(i128),
+    Integer(i128),
     /// Any other number.
     Number(f64),
     /// Text.
@@ -47,7 +47,7 @@
         match self {
             Raw::Null => "nothing",
             Raw::Bool(_) => "true or false",
-            Raw::Whole(_) | Raw::Number(_) => "a number",
+            Raw::Integer(_) | Raw::Number(_) => "a number",
             Raw::Text(_) => "text",
             Raw::List(_) => "a list",
             Raw::Map(_) => "a section",
@@ -57,9 +57,9 @@
 
 /// Reads a document. An empty one is an empty section.
 pub fn read(bytes: &[u8]) -> Result<Node, Problems> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DOCUMENT_BYTES {
         let what = format!("{} bytes are too many", bytes.len());
-        return Err(Problem::new("", what, format!("keep the file within {LONGEST} bytes")).into());
+        return Err(Problem::new("", what, format!("keep the file within {MAX_DOCUMENT_BYTES} bytes")).into());
     }
     let text = std::str::from_utf8(bytes).map_err(|problem| {
         let line = 1 + bytes[..problem.valid_up_to()].iter().filter(|&&byte| byte == b'\n').count() as u64;
@@ -67,17 +67,17 @@
         Problem { line: Some(line), ..told }
     })?;
     let mut budget = serde_saphyr::Budget::default();
-    budget.max_depth = DEEPEST;
-    budget.flow_nesting_limit = DEEPEST;
-    budget.max_nodes = MOST_VALUES;
-    budget.max_events = 4 * MOST_VALUES;
-    budget.max_total_scalar_bytes = LONGEST;
+    budget.max_depth = MAX_DEPTH;
+    budget.flow_nesting_limit = MAX_DEPTH;
+    budget.max_nodes = MAX_VALUES;
+    budget.max_events = 4 * MAX_VALUES;
+    budget.max_total_scalar_bytes = MAX_DOCUMENT_BYTES;
     budget.max_documents = 1;
     let mut options = serde_saphyr::Options::default();
     options.budget = Some(budget);
     // Told by the reader of sections, with both lines.
     options.duplicate_keys = serde_saphyr::DuplicateKeyPolicy::PassThrough;
-    options.alias_limits.max_total_replayed_events = MOST_VALUES;
+    options.alias_limits.max_total_replayed_events = MAX_VALUES;
     // An error shows the text around its place, and secrets stand in this file.
     options.with_snippet = false;
     match serde_saphyr::from_str_with_options::<Node>(text, options) {
@@ -85,14 +85,14 @@
         Ok(node) => Ok(node),
         Err(problem) => {
             let line = problem.location().map(|at| at.line()).filter(|&line| line > 0);
-            let told = Problem::new("", reason(&problem), "write YAML 1.2, or JSON");
+            let told = Problem::new("", error_text(&problem), "write YAML 1.2, or JSON");
             Err(Problem { line, ..told }.into())
         }
     }
 }
 
 /// The reader's own words, without what it quotes of the file.
-fn reason(problem: &serde_saphyr::Error) -> String {
+fn error_text(problem: &serde_saphyr::Error) -> String {
     let text = problem.to_string();
     let first = text.lines().next().unwrap_or_default();
     let plain = first.split(['`', '"', '\'']).next().unwrap_or_default().trim_end_matches([' ', ':']);
@@ -108,13 +108,13 @@
 
 impl<'de> Deserialize<'de> for Raw {
     fn deserialize<D: Deserializer<'de>>(source: D) -> Result<Raw, D::Error> {
-        source.deserialize_any(AnyRaw)
+        source.deserialize_any(RawVisitor)
     }
 }
 
-struct AnyRaw;
+struct RawVisitor;
 
-impl<'de> Visitor<'de> for AnyRaw {
+impl<'de> Visitor<'de> for RawVisitor {
     type Value = Raw;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -138,19 +138,19 @@
     }
 
     fn visit_i64<E>(self, value: i64) -> Result<Raw, E> {
-        Ok(Raw::Whole(value.into()))
+        Ok(Raw::Integer(value.into()))
     }
 
     fn visit_u64<E>(self, value: u64) -> Result<Raw, E> {
-        Ok(Raw::Whole(value.into()))
+        Ok(Raw::Integer(value.into()))
     }
 
     fn visit_i128<E>(self, value: i128) -> Result<Raw, E> {
-        Ok(Raw::Whole(value))
+        Ok(Raw::Integer(value))
     }
 
     fn visit_u128<E>(self, value: u128) -> Result<Raw, E> {
-        Ok(i128::try_from(value).map_or(Raw::Number(value as f64), Raw::Whole))
+        Ok(i128::try_from(value).map_or(Raw::Number(value as f64), Raw::Integer))
     }
 
     fn visit_f64<E>(self, value: f64) -> Result<Raw, E> {
--- a/src/config/tree/tests.rs
+++ b/src/config/tree/tests.rs
@@ -9,7 +9,7 @@
 fn values_know_their_lines() {
     let node = read(b"a: 1\nb:\n  - x\n  - y: true\n").unwrap();
     let Raw::Map(map) = node.value else { panic!() };
-    assert_eq!((map[0].0.as_str(), map[0].1, &map[0].2.value), ("a", 1, &Raw::Whole(1)));
+    assert_eq!((map[0].0.as_str(), map[0].1, &map[0].2.value), ("a", 1, &Raw::Integer(1)));
     let Raw::List(list) = &map[1].2.value else { panic!() };
     assert_eq!((list[0].line, &list[0].value), (3, &Raw::Text("x".into())));
     let Raw::Map(inner) = &list[1].value else { panic!() };
@@ -24,10 +24,13 @@
 
 #[test]
 fn bombs_are_refused() {
-    assert!(told(&" ".repeat(LONGEST + 1)).what.contains("too many"));
+    assert!(told(&" ".repeat(MAX_DOCUMENT_BYTES + 1)).what.contains("too many"));
     told(&format!("a: {}", "[".repeat(10_000)));
     told(&format!("a: {}{}", "[".repeat(10_000), "]".repeat(10_000)));
-    told(&(0..10_000).map(|depth| format!("{}a:\n", " ".repeat(depth))).collect::<String>()[..LONGEST]);
+    told(
+        &(0..10_000).map(|depth| format!("{}a:\n", " ".repeat(depth))).collect::<String>()
+            [..MAX_DOCUMENT_BYTES],
+    );
     let mut bomb = String::from("a0: &a0 [x,x,x,x,x,x,x,x,x,x]\n");
     for level in 1..12 {
         let refers = vec![format!("*a{}", level - 1); 10].join(",");
--- a/src/config/versions.rs
+++ b/src/config/versions.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 /// Versions kept at most.
-pub const MOST: usize = 16;
+pub const MAX_VERSIONS: usize = 16;
 const MAGIC: &str = "cedarwharf versions 1";
 
 /// The time within which a version must be confirmed.
@@ -64,7 +64,7 @@
 /// See the module's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versions {
-    kept: VecDeque<Version>,
+    versions: VecDeque<Version>,
     staged: Option<Staged>,
     salt: String,
     bound: usize,
@@ -73,7 +73,7 @@
 impl Versions {
     /// None yet. `salt` is random; the bytes of all together stay within `bound`.
     pub fn new(salt: String, bound: usize) -> Versions {
-        Versions { kept: VecDeque::new(), staged: None, salt, bound }
+        Versions { versions: VecDeque::new(), staged: None, salt, bound }
     }
 
     /// What keeps digests of secrets from being guessed at.
@@ -88,7 +88,7 @@
 
     /// The version in force.
     pub fn current(&self) -> Option<&Version> {
-        self.kept.back()
+        self.versions.back()
     }
 
     /// The number of the version in force; 0 before the first.
@@ -98,12 +98,12 @@
 
     /// A version that is kept.
     pub fn get(&self, number: u64) -> Option<&Version> {
-        self.kept.iter().find(|version| version.number == number)
+        self.versions.iter().find(|version| version.number == number)
     }
 
     /// Those kept, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Version> {
-        self.kept.iter()
+        self.versions.iter()
     }
 
     /// The candidate, if one is staged.
@@ -113,46 +113,46 @@
 
     /// These, with one more in force. What was staged is used up. The oldest go where there are too many; the one
     /// that a window leads back to stays.
-    pub fn with(&self, version: Version) -> Result<Versions, Problem> {
+    pub fn with_version(&self, version: Version) -> Result<Versions, Problem> {
         let mut next = self.clone();
         next.staged = None;
-        next.kept.push_back(version);
-        next.bounded()
+        next.versions.push_back(version);
+        next.trimmed()
     }
 
     /// These, with another candidate, or none.
     pub fn with_staged(&self, staged: Option<Staged>) -> Result<Versions, Problem> {
         let mut next = self.clone();
         next.staged = staged;
-        next.bounded()
+        next.trimmed()
     }
 
     /// These, with the one in force confirmed.
     pub fn confirmed(&self) -> Versions {
         let mut next = self.clone();
-        next.kept.back_mut().into_iter().for_each(|version| version.window = None);
+        next.versions.back_mut().into_iter().for_each(|version| version.window = None);
         next
     }
 
     /// The same within another bound.
-    pub fn rebound(&self, bound: usize) -> Result<Versions, Problem> {
-        Versions { bound, ..self.clone() }.bounded()
+    pub fn with_bound(&self, bound: usize) -> Result<Versions, Problem> {
+        Versions { bound, ..self.clone() }.trimmed()
     }
 
-    fn bounded(mut self) -> Result<Versions, Problem> {
+    fn trimmed(mut self) -> Result<Versions, Problem> {
         let back_to = self.current().and_then(|version| version.window.as_ref()).map(|window| window.back_to);
         loop {
-            let over = self.kept.len() > MOST || self.encode().len() > self.bound;
+            let over = self.versions.len() > MAX_VERSIONS || self.encode().len() > self.bound;
             if !over {
                 return Ok(self);
             }
-            let last = self.kept.len().saturating_sub(1);
-            let oldest = self.kept.iter().take(last).position(|version| Some(version.number) != back_to);
+            let last = self.versions.len().saturating_sub(1);
+            let oldest = self.versions.iter().take(last).position(|version| Some(version.number) != back_to);
             let Some(oldest) = oldest else {
                 let what = format!("the file does not fit into the {} bytes for versions", self.bound);
                 return Err(Problem::new("", what, "shorten it, or allow more with limits.disk_mb"));
             };
-            self.kept.remove(oldest);
+            self.versions.remove(oldest);
         }
     }
 
@@ -160,28 +160,28 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut out = format!("{MAGIC}\n").into_bytes();
         let lines = [Line::Salt(self.salt.clone())].into_iter();
-        let lines = lines.chain(self.kept.iter().cloned().map(Line::Version));
+        let lines = lines.chain(self.versions.iter().cloned().map(Line::Version));
         lines
             .chain(self.staged.clone().map(|staged| Line::Staged(Some(staged))))
-            .for_each(|line| put(&mut out, &line));
+            .for_each(|line| append_line(&mut out, &line));
         out
     }
 
     /// The lines that lead from those to these, for the end of the file. Who goes for want of room is found again when
     /// the file is read.
-    pub fn since(&self, before: &Versions) -> Vec<u8> {
+    pub fn lines_since(&self, before: &Versions) -> Vec<u8> {
         let mut out = Vec::new();
-        for version in self.kept.iter().filter(|version| version.number > before.number()) {
-            put(&mut out, &Line::Version(version.clone()));
+        for version in self.versions.iter().filter(|version| version.number > before.number()) {
+            append_line(&mut out, &Line::Version(version.clone()));
         }
         if self.number() == before.number() {
             if self.staged != before.staged {
-                put(&mut out, &Line::Staged(self.staged.clone()));
+                append_line(&mut out, &Line::Staged(self.staged.clone()));
             }
             if self.current().map(|version| &version.window)
                 != before.current().map(|version| &version.window)
             {
-                put(&mut out, &Line::Confirmed(self.number()));
+                append_line(&mut out, &Line::Confirmed(self.number()));
             }
         }
         out
@@ -190,8 +190,8 @@
     /// From bytes, up to the first damage, and how many of them are good; `None` where not even the salt is there.
     pub fn decode(bytes: &[u8], bound: usize) -> Option<(Versions, usize)> {
         let mut rest = bytes.strip_prefix(MAGIC.as_bytes())?.strip_prefix(b"\n")?;
-        let mut found: Option<Versions> = None;
-        let mut good = 0;
+        let mut versions: Option<Versions> = None;
+        let mut valid_bytes = 0;
         while let Some(end) = rest.iter().position(|&byte| byte == b'\n') {
             let (line, after) = (&rest[..end], &rest[end + 1..]);
             let Some((sum, text)) = line.split_at_checked(8) else { break };
@@ -200,27 +200,27 @@
             if sum != Some(crc32fast::hash(text)) {
                 break;
             }
-            match (serde_json::from_slice(text), &mut found) {
-                (Ok(Line::Salt(salt)), None) => found = Some(Versions::new(salt, bound)),
-                (Ok(Line::Version(version)), Some(found)) if version.number > found.number() => {
-                    found.kept.push_back(version);
-                    found.staged = None;
+            match (serde_json::from_slice(text), &mut versions) {
+                (Ok(Line::Salt(salt)), None) => versions = Some(Versions::new(salt, bound)),
+                (Ok(Line::Version(version)), Some(versions)) if version.number > versions.number() => {
+                    versions.versions.push_back(version);
+                    versions.staged = None;
                 }
-                (Ok(Line::Staged(staged)), Some(found)) => found.staged = staged,
-                (Ok(Line::Confirmed(number)), Some(found)) if number == found.number() => {
-                    found.kept.back_mut().into_iter().for_each(|version| version.window = None);
+                (Ok(Line::Staged(staged)), Some(versions)) => versions.staged = staged,
+                (Ok(Line::Confirmed(number)), Some(versions)) if number == versions.number() => {
+                    versions.versions.back_mut().into_iter().for_each(|version| version.window = None);
                 }
                 _ => break,
             }
             rest = after;
-            good = bytes.len() - rest.len();
+            valid_bytes = bytes.len() - rest.len();
         }
-        let found = found?;
-        Some((found.clone().bounded().unwrap_or(found), good))
+        let versions = versions?;
+        Some((versions.clone().trimmed().unwrap_or(versions), valid_bytes))
     }
 }
 
-fn put(out: &mut Vec<u8>, line: &Line) {
+fn append_line(out: &mut Vec<u8>, line: &Line) {
     let text = serde_json::to_string(line).unwrap_or_default();
     out.extend(format!("{:08x} {text}\n", crc32fast::hash(text.as_bytes())).bytes());
 }
--- a/src/net/admin/changes.rs
+++ b/src/net/admin/changes.rs
@@ -2,10 +2,10 @@
 //! queue, and the loop carries out one between two turns.
 
 use super::{Answer, PROBLEM};
-use crate::config::desk::{Desk, Refusal, Trial, LONGEST_WINDOW_MS};
+use crate::config::desk::{ChangeService, Refusal, Trial, MAX_WINDOW_MS};
 use crate::config::probation::Bounds;
 use crate::config::problem::Problems;
-use crate::config::secret::Disk;
+use crate::config::secret::DiskFiles;
 use crate::config::versions::Version;
 use crate::net::http::Request;
 use crate::Micros;
@@ -101,10 +101,10 @@
 }
 
 /// What the history with these says of the version in force.
-pub fn status(desk: &Desk, at: Micros) -> Value {
-    let versions = desk.versions();
+pub fn status(change_service: &ChangeService, at: Micros) -> Value {
+    let versions = change_service.versions();
     let mut told = versions.current().map_or(json!({}), version);
-    told["trial_left_ms"] = desk.window_left(at).map(|left| left.0 / 1000).into();
+    told["trial_left_ms"] = change_service.window_left(at).map(|left| left.0 / 1000).into();
     told["staged"] = versions
         .staged()
         .map(|staged| json!({"from": staged.from, "who": staged.who, "at_ms": staged.at_ms}))
@@ -113,7 +113,7 @@
 }
 
 /// Answers a request to `/v1/config...`; `rest` is what follows in the path.
-pub fn answer(request: &Request, rest: &[&str], desk: &Desk, at: Micros) -> Verdict {
+pub fn answer(request: &Request, rest: &[&str], change_service: &ChangeService, at: Micros) -> Verdict {
     let query = request.target.split_once('?').map_or("", |(_, query)| query);
     let query: BTreeMap<String, String> = pairs(query).collect();
     let body = || match String::from_utf8(request.body.clone()) {
@@ -125,26 +125,30 @@
         Ok(body) => body,
         Err(told) => return told,
     };
-    let number = desk.versions().number();
+    let number = change_service.versions().number();
     match (request.method.as_str(), rest) {
         ("GET", []) => {
-            let mut told = status(desk, at);
-            let values =
-                desk.outline().iter().map(|(path, shown)| (path.clone(), Value::from(shown.text.clone())));
+            let mut told = status(change_service, at);
+            let values = change_service
+                .outline()
+                .iter()
+                .map(|(path, shown)| (path.clone(), Value::from(shown.text.clone())));
             told["values"] = Value::Object(values.collect());
             Verdict::Now(Answer { etag: Some(number), ..Answer::json(200, &told) })
         }
-        ("GET", ["versions"]) => now(200, &desk.versions().iter().rev().map(version).collect()),
-        ("GET", ["versions", one]) => match one.parse().ok().and_then(|one| desk.versions().get(one)) {
-            Some(one) => now(200, &version(one)),
-            None => simple(404, "this version is not kept", "see the history for those that are"),
-        },
+        ("GET", ["versions"]) => now(200, &change_service.versions().iter().rev().map(version).collect()),
+        ("GET", ["versions", one]) => {
+            match one.parse().ok().and_then(|one| change_service.versions().get(one)) {
+                Some(one) => now(200, &version(one)),
+                None => simple(404, "this version is not kept", "see the history for those that are"),
+            }
+        }
         ("POST", ["check" | "diff"]) => {
-            let staged = || desk.versions().staged().map(|staged| staged.document.clone());
+            let staged = || change_service.versions().staged().map(|staged| staged.document.clone());
             let Some(document) = body.or_else(staged) else {
                 return simple(422, "no candidate", "send one, or stage one first");
             };
-            match desk.diff(&document, &Disk) {
+            match change_service.diff(&document, &DiskFiles) {
                 Ok(differences) => now(200, &json!({"version": number, "differences": differences})),
                 Err(refusal) => Verdict::Now(refused(&refusal, number)),
             }
@@ -155,7 +159,8 @@
         },
         ("POST", ["apply"]) => {
             let named = request.headers.get("If-Match").map(|tag| tag.trim().trim_matches('"'));
-            let staged = desk.versions().staged().filter(|_| body.is_none()).map(|staged| staged.from);
+            let staged =
+                change_service.versions().staged().filter(|_| body.is_none()).map(|staged| staged.from);
             let from = match named {
                 Some(tag) => tag.parse().ok(),
                 None => staged,
@@ -205,11 +210,11 @@
             Err(told)
         }
     };
-    let longest = LONGEST_WINDOW_MS as f64 / 1000.0;
+    let longest = MAX_WINDOW_MS as f64 / 1000.0;
     let (confirm, probation) = (number("confirm_within_s", longest)?, number("probation_s", longest)?);
     let bounds = Bounds { turn_downs: number("turn_downs", 1.0)?, turn_ms: number("turn_ms", 60_000.0)? };
     let Some(for_s) = confirm.or(probation) else { return Ok(None) };
-    Ok(Some(Trial { for_ms: (for_s * 1000.0) as u64, stays: confirm.is_none(), bounds }))
+    Ok(Some(Trial { duration_ms: (for_s * 1000.0) as u64, keep_on_expiry: confirm.is_none(), bounds }))
 }
 
 /// The pairs of a query, with percent signs resolved.
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -8,7 +8,7 @@
 use super::poll::{Peer, Poll};
 use super::reports::escape;
 use super::stream::{self, Stream};
-use crate::config::desk::Desk;
+use crate::config::desk::ChangeService;
 use crate::config::model::Token;
 use crate::config::problem::Problem;
 use crate::engine::{Counts, Engine, Input};
@@ -39,7 +39,7 @@
     /// The service entries.
     pub book: &'a Book,
     /// The configuration.
-    pub desk: &'a Desk,
+    pub change_service: &'a ChangeService,
     /// Now.
     pub now: Micros,
 }
@@ -253,7 +253,11 @@
                         Verdict::Later(_) if waiting >= changes::MOST_WAITING => {
                             let told = format!("{waiting} changes wait already");
                             let refusal = crate::config::desk::Refusal::new(503, told, "come again");
-                            self.send(poll, token, changes::refused(&refusal, view.desk.versions().number()));
+                            self.send(
+                                poll,
+                                token,
+                                changes::refused(&refusal, view.change_service.versions().number()),
+                            );
                         }
                         Verdict::Later(ask) => self.wait(token, ask, asks),
                     }
@@ -315,7 +319,9 @@
         Verdict::Now(match (request.method.as_str(), &parts[..]) {
             // The configuration belongs to no tenant.
             (_, ["v1", "config", ..]) if scope.is_some() => Answer::empty(403),
-            (_, ["v1", "config", rest @ ..]) => return changes::answer(request, rest, view.desk, view.now),
+            (_, ["v1", "config", rest @ ..]) => {
+                return changes::answer(request, rest, view.change_service, view.now)
+            }
             ("GET", ["v1", "tenants"]) => {
                 list(tenants.active().filter(|&t| sees(t)).map(|t| self.tenant(t, view)).collect())
             }
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -1,4 +1,4 @@
-//! Puts changes of the configuration in force, one between two turns: the loop as the ground of a transaction. Asks come
+//! Puts changes of the configuration in force, one between two turns: the loop as the target of a transaction. Asks come
 //! from the administration API, from SIGHUP, and from a trial that is over.
 
 use super::admin::changes::{refused, status, Ask, Asked};
@@ -9,13 +9,13 @@
 use super::members::{self, Members};
 use super::node::{entry, idle_time, Node};
 use super::poll::Peer;
-use crate::config::desk::{Change, Planned, Refusal};
+use crate::config::desk::{Change, PlannedChange, Refusal};
 use crate::config::model::{self, Model, Part};
 use crate::config::plan::Step;
 use crate::config::problem::Problem;
-use crate::config::secret::Disk;
-use crate::config::transaction::{self, Ground, Point};
-use crate::config::tree::LONGEST;
+use crate::config::secret::DiskFiles;
+use crate::config::transaction::{self, ChangeTarget, Point};
+use crate::config::tree::MAX_DOCUMENT_BYTES;
 use crate::config::versions::Versions;
 use crate::{directory, Micros};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -48,10 +48,11 @@
 /// Reads an operators' file, as text; one that is too long is not read to its end.
 pub(super) fn read(path: &Path) -> Result<String, String> {
     let mut bytes = Vec::new();
-    let file = File::open(path).and_then(|file| file.take(LONGEST as u64 + 1).read_to_end(&mut bytes));
+    let file =
+        File::open(path).and_then(|file| file.take(MAX_DOCUMENT_BYTES as u64 + 1).read_to_end(&mut bytes));
     file.map_err(|problem| format!("{}: {problem}", path.display()))?;
-    if bytes.len() > LONGEST {
-        return Err(format!("{}: longer than {LONGEST} bytes", path.display()));
+    if bytes.len() > MAX_DOCUMENT_BYTES {
+        return Err(format!("{}: longer than {MAX_DOCUMENT_BYTES} bytes", path.display()));
     }
     String::from_utf8(bytes).map_err(|_| format!("{}: not UTF-8", path.display()))
 }
@@ -115,8 +116,8 @@
         let (node, to) = (&mut *self.node, self.to);
         let slots = to.core.settings.slots;
         let directory = node.engine.directory().clone();
-        node.servers.configure(to.dial_timeout, idle_time(to), model::for_servers(slots));
-        node.platform.configure(directory.clone(), model::for_clients(to.sockets, slots));
+        node.servers.configure(to.dial_timeout, idle_time(to), model::endpoint_connection_limit(slots));
+        node.platform.configure(directory.clone(), model::client_connection_limit(to.sockets, slots));
         node.brokers.rename(directory.clone(), to.dial_timeout);
         if let Some(front) = &mut node.publishers {
             front.configure(directory, to.publishers.clone(), self.now);
@@ -124,8 +125,8 @@
     }
 }
 
-impl Ground for Between<'_> {
-    type Held = Held;
+impl ChangeTarget for Between<'_> {
+    type Prepared = Held;
 
     fn prepare(&mut self, step: &Step) -> Result<Held, Problem> {
         let engine = &mut self.node.engine;
@@ -275,7 +276,7 @@
         }
     }
 
-    fn pass(&mut self, point: Point) {
+    fn reach(&mut self, point: Point) {
         pass(&point.name());
     }
 }
@@ -283,22 +284,24 @@
 impl Node {
     /// At most one change, and what a trial asks for. Cost: none while nothing waits and nothing is on trial.
     pub(super) fn between_turns(&mut self, now: Micros, turn: Micros) {
-        debug_assert!(self.desk.consistent() && self.engine.runs(&self.desk.model().core));
+        debug_assert!(
+            self.change_service.is_consistent() && self.engine.runs(&self.change_service.model().core)
+        );
         let sums = self.sums();
-        if let Some(change) = self.desk.turn(now, sums, turn) {
+        if let Some(change) = self.change_service.check_window(now, sums, turn) {
             log!("configuration on trial: {}", change.why);
             if let Err(refusal) = self.change(change, now) {
                 // It stays on trial, and is judged again in the next turn.
                 log!("configuration cannot go back: {}", refusal.problems);
             }
-        } else if self.desk.passed(now) {
-            let confirmed = self.desk.confirm();
+        } else if self.change_service.probation_passed(now) {
+            let confirmed = self.change_service.confirm();
             if let Err(refusal) = confirmed.and_then(|versions| self.keep(versions)) {
                 log!("configuration cannot be confirmed: {}", refusal.problems);
             }
         } else if let Some(Asked { connection, who, ask }) = self.asks.pop_front() {
             let told = self.carry_out_ask(ask, who, now);
-            let number = self.desk.versions().number();
+            let number = self.change_service.versions().number();
             let answer = match told {
                 Ok(answer) => Answer { etag: Some(number), ..answer },
                 Err(refusal) => refused(&refusal, number),
@@ -316,42 +319,43 @@
         if self.life.leaves() {
             return Err(Refusal::new(503, "the process is stopping", "ask the one that follows"));
         }
-        let told = |node: &Node| Answer::json(200, &status(&node.desk, now));
+        let told = |node: &Node| Answer::json(200, &status(&node.change_service, now));
         match ask {
             Ask::Stage(document) => {
-                let versions = self.desk.stage(document, who, now, &Disk)?;
+                let versions = self.change_service.stage(document, who, now, &DiskFiles)?;
                 pass("stage");
                 self.keep(versions)?;
             }
             Ask::Apply { document, from, why, trial } => {
-                let staged = || self.desk.versions().staged().map(|staged| staged.document.clone());
+                let staged = || self.change_service.versions().staged().map(|staged| staged.document.clone());
                 let Some(document) = document.or_else(staged) else {
                     return Err(Refusal::new(409, "no candidate is staged", "stage one, or send one"));
                 };
-                let change = Change { document, base: None, from: Some(from), who, why, trial, back: false };
+                let change =
+                    Change { document, base: None, from: Some(from), who, why, trial, is_rollback: false };
                 let began = Instant::now();
                 let differences = self.change(change, now)?;
                 let took = began.elapsed();
-                let mut status = status(&self.desk, now);
+                let mut status = status(&self.change_service, now);
                 status["differences"] = json!(differences);
                 // How long nothing else went on, from the check to the last commit.
                 status["took_us"] = json!(took.as_micros() as u64);
                 return Ok(Answer::json(200, &status));
             }
             Ask::Confirm => {
-                let versions = self.desk.confirm()?;
+                let versions = self.change_service.confirm()?;
                 log!("configuration {} confirmed by {who}", versions.number());
                 self.keep(versions)?;
             }
             Ask::Undo { to, from, why } => {
-                let Some(to) = to.or(self.desk.before()) else {
+                let Some(to) = to.or(self.change_service.previous_version()) else {
                     return Err(Refusal::new(
                         404,
                         "no version before this one is kept",
                         "apply a file instead",
                     ));
                 };
-                let change = Change { from, ..self.desk.back(to, who, why)? };
+                let change = Change { from, ..self.change_service.rollback_to(to, who, why)? };
                 self.change(change, now)?;
             }
         }
@@ -361,23 +365,23 @@
     /// Puts a change in force, or nothing of it.
     fn change(&mut self, change: Change, now: Micros) -> Result<Vec<model::Difference>, Refusal> {
         let (who, why) = (change.who.clone(), change.why.clone());
-        let before = self.desk.versions().number();
-        let planned: Planned = self.desk.weigh(change, now, &Disk)?;
+        let before = self.change_service.versions().number();
+        let planned: PlannedChange = self.change_service.plan_change(change, now, &DiskFiles)?;
         pass("planned");
         let (versions, to) = (planned.versions.clone(), planned.model.clone());
-        if planned.steps.is_empty() && versions == *self.desk.versions() {
+        if planned.steps.is_empty() && versions == *self.change_service.versions() {
             return Ok(Vec::new());
         }
-        let mut ground = Between { node: self, versions: &versions, to: &to, now };
-        transaction::run(&mut ground, &planned.steps).map_err(|problem| {
+        let mut target = Between { node: self, versions: &versions, to: &to, now };
+        transaction::run(&mut target, &planned.steps).map_err(|problem| {
             log!("configuration not changed for {who}: {problem}");
             Refusal { status: 409, problems: problem.into() }
         })?;
         let (differences, sums) = (planned.differences.clone(), self.sums());
-        self.desk.settle(planned, now, sums);
-        let number = self.desk.versions().number();
+        self.change_service.complete(planned, now, sums);
+        let number = self.change_service.versions().number();
         if number != before {
-            let digest = self.desk.versions().current().map_or("", |version| &version.digest);
+            let digest = self.change_service.versions().current().map_or("", |version| &version.digest);
             let count = differences.len();
             log!("configuration {number} in force, digest {digest}: {count} values, by {who}: {why}");
         }
@@ -390,7 +394,7 @@
             let written = store.write(&versions, || pass("rename"));
             written.map_err(|problem| Refusal { status: 507, problems: problem.into() })?;
         }
-        self.desk.keep(versions);
+        self.change_service.replace_versions(versions);
         Ok(())
     }
 
@@ -399,7 +403,8 @@
         match &self.options.file {
             Some(path) => self.reload = Some(Reload { text: read(path), since: now, begun: now }),
             None => {
-                let document = self.desk.versions().current().map_or(String::new(), |v| v.document.clone());
+                let document =
+                    self.change_service.versions().current().map_or(String::new(), |v| v.document.clone());
                 self.take_over(document, now);
             }
         }
@@ -419,7 +424,7 @@
             }
             _ => match text {
                 Ok(text) => self.take_over(text, now),
-                Err(problem) => log!("configuration not read again, the old one stays: {problem}"),
+                Err(problem) => log!("configuration not read again, the old one keep_on_expiry: {problem}"),
             },
         }
     }
@@ -430,13 +435,16 @@
         }
         let base = match super::config::load() {
             Ok(config) => config.base,
-            Err(problem) => return log!("configuration not read again, the old one stays: {problem}"),
+            Err(problem) => {
+                return log!("configuration not read again, the old one keep_on_expiry: {problem}")
+            }
         };
         let (who, why) = ("SIGHUP".to_owned(), "the files were read again".to_owned());
-        let change = Change { document, base: Some(base), from: None, who, why, trial: None, back: false };
+        let change =
+            Change { document, base: Some(base), from: None, who, why, trial: None, is_rollback: false };
         match self.change(change, now) {
             Ok(differences) => {
-                let discovery = self.desk.model().discovery;
+                let discovery = self.change_service.model().discovery;
                 log!(
                     "configuration read again, {} values differ: discovery at {discovery}",
                     differences.len()
@@ -444,7 +452,7 @@
             }
             Err(refusal) => {
                 let told = refusal.problems.to_string().replace('\n', "; ");
-                log!("configuration not read again, the old one stays: {told}");
+                log!("configuration not read again, the old one keep_on_expiry: {told}");
             }
         }
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,7 +1,7 @@
 //! What the forwarder is told at its start: the JSON file named by `PROXY_CONFIG`, read at the start and at SIGHUP.
 
 use super::list::{self, Names, News};
-use crate::config::model::Base;
+use crate::config::model::PlatformConfig;
 use crate::settings;
 use simd_json::prelude::*;
 use simd_json::BorrowedValue;
@@ -21,7 +21,7 @@
     /// Where operators' staff call.
     pub ops: Option<SocketAddr>,
     /// All that operators can set too.
-    pub base: Base,
+    pub base: PlatformConfig,
 }
 
 /// Reads the platform's file and the environment.
@@ -79,7 +79,7 @@
         }
         read
     });
-    let base = Base {
+    let base = PlatformConfig {
         listen: address(&value, "listen")?,
         discovery: address(&value, "discovery")?,
         sockets: limit("sockets").map_or(1024, |sockets| sockets as usize),
--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -19,7 +19,7 @@
             |entry: &&Entry| self.dns_sd.iter().flat_map(DnsSd::current).any(|one| one.name == entry.name);
         let own = |entry: &&Entry| self.own.iter().any(|one| one.name == entry.name);
         let discovered = self.book.0.values().filter(|entry| !own(entry) && !looked_up(entry));
-        let list = list::write(generation, discovered, &self.desk.model().names);
+        let list = list::write(generation, discovered, &self.change_service.model().names);
         members.from_discovery(now, generation, Some(&list));
     }
 
@@ -27,7 +27,7 @@
     pub(super) fn hear_members(&mut self) {
         let Some(members) = &mut self.members else { return };
         if let Some((edition, bytes)) = members.came() {
-            match read_whole(&bytes, &self.desk.model().names) {
+            match read_whole(&bytes, &self.change_service.model().names) {
                 Some(mut news) => {
                     members.taken(edition, Some(bytes));
                     self.watch.goes_on_from(edition.generation);
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -24,7 +24,7 @@
 use super::servers::http::{Outgoing, Servers};
 use super::signals::{heard, Signals};
 use super::upgrade::{self};
-use crate::config::desk::Desk;
+use crate::config::desk::ChangeService;
 use crate::config::store::Store;
 use crate::engine::{Engine, Input, Output};
 use crate::lifecycle::{self, Stage};
@@ -68,7 +68,7 @@
     pub watch: Watch,
     pub reports: Reports,
     pub(super) signals: Signals,
-    pub desk: Desk,
+    pub change_service: ChangeService,
     /// Where versions are kept; nowhere where nobody gave an operators' file.
     pub store: Option<Store>,
     pub options: Options,
@@ -131,7 +131,7 @@
         let own =
             [self.engine.due(), self.watch.due(), self.reports.due(), publishers, dns_sd, admin, ops, life];
         let members = self.members.as_ref().map(|members| members.due(now));
-        let change = [members, self.desk.due(), self.reload.as_ref().map(Reload::due)];
+        let change = [members, self.change_service.due(), self.reload.as_ref().map(Reload::due)];
         let peers = [self.servers.due(), self.brokers.due(), self.platform.due()];
         let dues = own.into_iter().chain(change).chain(peers);
         let due = dues.flatten().min().unwrap_or(Micros(u64::MAX));
--- a/src/net/node/operations.rs
+++ b/src/net/node/operations.rs
@@ -1,7 +1,7 @@
 //! What operators' staff ask for: figures, drains, maintenance, and the administration's changes.
 
 use super::Node;
-use crate::config::probation::Sums;
+use crate::config::probation::ServiceCounts;
 use crate::engine::figures::Figures;
 use crate::lifecycle::{NoWayBack, Stage};
 use crate::maintenance::agent::Facts;
@@ -119,7 +119,7 @@
     /// A connection of the administration is ready, or its change has its answer.
     pub(in crate::net) fn administer(&mut self, token: u64, now: Micros, told: Option<admin::Answer>) {
         let Some(admin) = &mut self.admin else { return };
-        let view = View { engine: &self.engine, book: &self.book, desk: &self.desk, now };
+        let view = View { engine: &self.engine, book: &self.book, change_service: &self.change_service, now };
         let waiting = self.asks.len();
         match told {
             None => admin.ready(&self.poll, token, view, &mut self.inputs, &mut self.asks, waiting),
@@ -131,13 +131,13 @@
     }
 
     /// Sums for a probation.
-    pub(in crate::net) fn sums(&self) -> Sums {
+    pub(in crate::net) fn sums(&self) -> ServiceCounts {
         let counts = self.engine.sums();
         let publishers = self.publishers.as_ref().map_or(0, |front| front.listener_failures);
         let admin = self.admin.as_ref().map_or(0, |admin| admin.listener_failures);
-        Sums {
-            taken_on: counts.taken_on,
-            turned_down: counts.turned_down,
+        ServiceCounts {
+            accepted: counts.taken_on,
+            rejected: counts.turned_down,
             listener_failures: self.platform.listener_failures + publishers + admin,
         }
     }
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -1,9 +1,9 @@
 //! The start of a process: all that the loop needs is built here, anew or from what another process hands over.
 
 use super::{listing, Node, Options};
-use crate::config::desk::Desk;
-use crate::config::model::{self, Base, Model};
-use crate::config::secret::Disk;
+use crate::config::desk::ChangeService;
+use crate::config::model::{self, Model, PlatformConfig};
+use crate::config::secret::DiskFiles;
 use crate::config::store::Store;
 use crate::engine::{Engine, Input, Resume};
 use crate::lifecycle::Lifecycle;
@@ -44,7 +44,7 @@
 
 /// The configuration that a start goes by, and where its versions are kept.
 struct Configured {
-    desk: Desk,
+    change_service: ChangeService,
     /// Nowhere where nobody gave an operators' file.
     store: Option<Store>,
     /// What the start made of the versions is still to be written.
@@ -52,22 +52,27 @@
 }
 
 impl Configured {
-    fn load(base: Base, folder: &Path, options: &Options, now: Micros) -> Result<Configured, String> {
+    fn load(
+        base: PlatformConfig,
+        folder: &Path,
+        options: &Options,
+        now: Micros,
+    ) -> Result<Configured, String> {
         let file = options.file.as_ref().map(|path| change::read(path)).transpose()?;
         let durable = file.is_some() || Store::exists(folder);
         let (store, versions) = Store::open(folder, base.disk);
         let kept = versions.clone();
-        let started = Desk::start(base, versions, file.as_deref(), options.fresh, &Disk, now);
-        let (desk, notes) = started.map_err(|problems| match &options.file {
+        let started = ChangeService::start(base, versions, file.as_deref(), options.fresh, &DiskFiles, now);
+        let (change_service, notes) = started.map_err(|problems| match &options.file {
             Some(path) => format!("{}: {problems}", path.display()),
             None => problems.to_string(),
         })?;
-        crate::net::log::configure(desk.model().log);
+        crate::net::log::configure(change_service.model().log);
         if durable {
             notes.iter().for_each(|note| log!("{note}"));
         }
-        let unkept = durable && *desk.versions() != kept;
-        Ok(Configured { desk, store: durable.then_some(store), unkept })
+        let unkept = durable && *change_service.versions() != kept;
+        Ok(Configured { change_service, store: durable.then_some(store), unkept })
     }
 }
 
@@ -228,8 +233,9 @@
         let Config { state: folder, seed, known, base, .. } = config;
         let Early { mut poll, clock, signals, ops } = early;
         let (handed, mut sockets) = upgrade::unpack(before);
-        let Configured { desk, store, unkept } = Configured::load(base, &folder, &options, clock.now())?;
-        let model = desk.model().clone();
+        let Configured { change_service, store, unkept } =
+            Configured::load(base, &folder, &options, clock.now())?;
+        let model = change_service.model().clone();
         if let Err(problem) = change::allow_sockets(model.sockets) {
             log!("{problem}");
         }
@@ -237,7 +243,8 @@
         let own: Vec<Entry> = model.brokers.iter().map(listing::entry).collect();
         let mut first = FirstList::choose(known, &folder, &model, handed.as_ref(), &own);
         let slots = model.core.settings.slots;
-        let mut servers = Servers::new(model.dial_timeout, idle_time(&model), model::for_servers(slots));
+        let mut servers =
+            Servers::new(model.dial_timeout, idle_time(&model), model::endpoint_connection_limit(slots));
         let mut book = Book::default();
         book.learn(&first.whole);
         let cached = listing::learn(&mut servers, &first.whole);
@@ -255,7 +262,7 @@
             }
         };
         let directory = engine.directory().clone();
-        let most = model::for_clients(model.sockets, slots);
+        let most = model::client_connection_limit(model.sockets, slots);
         let mut platform = Platform::new(listening.clients, directory.clone(), most);
         let publishers = listening
             .publishers
@@ -308,7 +315,7 @@
             poll,
             clock,
             signals,
-            desk,
+            change_service,
             store,
             options,
             asks: VecDeque::new(),
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -198,7 +198,7 @@
     pub(super) fn possess(&mut self, seat: Option<handover::Seat>) -> Result<(), String> {
         self.engine.possess();
         if let Some(store) = self.store.as_mut().filter(|_| self.unkept) {
-            let written = store.write(self.desk.versions(), || super::change::pass("start"));
+            let written = store.write(self.change_service.versions(), || super::change::pass("start"));
             written.map_err(|problem| problem.to_string())?;
         }
         if let Some(seat) = &seat {
@@ -288,7 +288,7 @@
     /// for a moment, all are open twice.
     fn state(&mut self) -> Result<State, String> {
         let held = self.platform.held() + self.servers.held();
-        let over = (2 * (held + BESIDES)).saturating_sub(self.desk.model().sockets).div_ceil(2);
+        let over = (2 * (held + BESIDES)).saturating_sub(self.change_service.model().sockets).div_ceil(2);
         let over = over - self.servers.close_some(over).min(over);
         self.platform.close_some(over);
         let core = self.engine.hand_over()?;
@@ -305,7 +305,7 @@
             generation: self.watch.generation(),
             entries: self.book.0.values().filter(others).cloned().collect(),
             looked_up: self.dns_sd.iter().flat_map(|dns_sd| dns_sd.current()).cloned().collect(),
-            names: self.desk.model().names.clone(),
+            names: self.change_service.model().names.clone(),
             listeners: self.listeners().into_iter().map(|(role, _)| role).collect(),
             members: self.members.as_ref().map(Members::hand_over),
             edges: self.platform.hand_over().0,
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,15 +1,15 @@
-//! The configuration without any socket: the reader's relations, the plan, the transaction, versions, and the desk.
+//! The configuration without any socket: the reader's relations, the plan, the transaction, versions, and the change_service.
 
 mod common;
 
-use cedarwharf::config::desk::{check, Change, Desk, Trial};
-use cedarwharf::config::model::{differences, digest, Area, Base, Model};
+use cedarwharf::config::desk::{check, Change, ChangeService, Trial};
+use cedarwharf::config::model::{differences, digest, Model, PartKind, PlatformConfig};
 use cedarwharf::config::plan::{plan, Step};
-use cedarwharf::config::probation::{Bounds, Sums};
+use cedarwharf::config::probation::{Bounds, ServiceCounts};
 use cedarwharf::config::problem::Problem;
-use cedarwharf::config::secret::Files;
-use cedarwharf::config::transaction::{self, Ground, Point};
-use cedarwharf::config::versions::{Staged, Version, Versions, Window, MOST};
+use cedarwharf::config::secret::SecretFiles;
+use cedarwharf::config::transaction::{self, ChangeTarget, Point};
+use cedarwharf::config::versions::{Staged, Version, Versions, Window, MAX_VERSIONS};
 use cedarwharf::net::list::Names;
 use cedarwharf::*;
 use common::{ms, settings};
@@ -19,7 +19,7 @@
 /// Secrets' files, in memory.
 struct Kept(BTreeMap<&'static str, &'static str>);
 
-impl Files for Kept {
+impl SecretFiles for Kept {
     fn read(&self, path: &str) -> Result<String, String> {
         self.0.get(path).map(|text| (*text).to_owned()).ok_or_else(|| "no such file".to_owned())
     }
@@ -29,11 +29,11 @@
     Kept(BTreeMap::from([("/run/pw", "from-a-file\n"), ("/run/empty", "\n")]))
 }
 
-fn base() -> Base {
+fn base() -> PlatformConfig {
     let mut settings = settings();
     settings.classes.truncate(3);
     settings.tenants = vec![5.0, 7.0];
-    Base {
+    PlatformConfig {
         listen: "127.0.0.1:7000".parse().unwrap(),
         discovery: "127.0.0.1:7001".parse().unwrap(),
         sockets: 1024,
@@ -57,21 +57,23 @@
 
 fn change(text: &str, from: Option<u64>, trial: Option<Trial>) -> Change {
     let (who, why) = ("ana".to_owned(), "test".to_owned());
-    Change { document: text.to_owned(), base: None, from, who, why, trial, back: false }
+    Change { document: text.to_owned(), base: None, from, who, why, trial, is_rollback: false }
 }
 
-fn desk_with(versions: Versions, file: Option<&str>, now: Micros) -> Desk {
-    Desk::start(base(), versions, file, false, &files(), now).unwrap().0
+fn change_service_with(versions: Versions, file: Option<&str>, now: Micros) -> ChangeService {
+    ChangeService::start(base(), versions, file, false, &files(), now).unwrap().0
 }
 
-fn desk() -> Desk {
-    desk_with(Versions::new("salt".into(), 100_000), Some("limits: {slots: 6}"), ms(1_000))
+fn change_service() -> ChangeService {
+    change_service_with(Versions::new("salt".into(), 100_000), Some("limits: {slots: 6}"), ms(1_000))
 }
 
-fn put(desk: &mut Desk, change: Change, now: Micros) {
-    let planned = desk.weigh(change, now, &files()).unwrap_or_else(|refusal| panic!("{}", refusal.problems));
-    desk.settle(planned, now, Sums::default());
-    assert!(desk.consistent());
+fn put(change_service: &mut ChangeService, change: Change, now: Micros) {
+    let planned = change_service
+        .plan_change(change, now, &files())
+        .unwrap_or_else(|refusal| panic!("{}", refusal.problems));
+    change_service.complete(planned, now, ServiceCounts::default());
+    assert!(change_service.is_consistent());
 }
 
 // ---- The model ----
@@ -243,28 +245,28 @@
         .prop_map(|(a, b, c, d, e, f, g)| [a, b, c, d, e, f, g].concat())
 }
 
-/// A ground that fails at one place, and notes all that happens.
+/// A target that fails at one place, and notes all that happens.
 struct Fake {
     model: Model,
     fails_at: Option<Point>,
     at: Point,
-    held: Vec<Area>,
+    held: Vec<PartKind>,
     recorded: bool,
 }
 
-impl Ground for Fake {
-    type Held = Area;
+impl ChangeTarget for Fake {
+    type Prepared = PartKind;
 
-    fn prepare(&mut self, step: &Step) -> Result<Area, Problem> {
+    fn prepare(&mut self, step: &Step) -> Result<PartKind, Problem> {
         if self.fails_at == Some(self.at) {
             return Err(Problem::new("", "fails", "as it should"));
         }
-        self.held.push(step.area());
-        Ok(step.area())
+        self.held.push(step.kind());
+        Ok(step.kind())
     }
 
-    fn release(&mut self, step: &Step, held: Area) {
-        assert_eq!((step.area(), self.held.pop()), (held, Some(held)), "let go in reverse order");
+    fn release(&mut self, step: &Step, held: PartKind) {
+        assert_eq!((step.kind(), self.held.pop()), (held, Some(held)), "let go in reverse order");
         assert!(!self.recorded);
     }
 
@@ -276,13 +278,13 @@
         Ok(())
     }
 
-    fn commit(&mut self, step: &Step, held: Area) {
+    fn commit(&mut self, step: &Step, held: PartKind) {
         assert!(self.recorded, "written before the first of it is in force");
-        self.held.retain(|&area| area != held);
+        self.held.retain(|&kind| kind != held);
         step.apply(&mut self.model);
     }
 
-    fn pass(&mut self, point: Point) {
+    fn reach(&mut self, point: Point) {
         self.at = point;
     }
 }
@@ -316,11 +318,11 @@
             _ => None,
         };
         let (at, held) = (Point::Done, Vec::new());
-        let mut ground = Fake { model: from.clone(), fails_at, at, held, recorded: false };
-        let done = transaction::run(&mut ground, &steps);
+        let mut target = Fake { model: from.clone(), fails_at, at, held, recorded: false };
+        let done = transaction::run(&mut target, &steps);
         prop_assert_eq!(done.is_ok(), fails_at.is_none());
-        prop_assert!(ground.held.is_empty());
-        prop_assert_eq!(&ground.model, if fails_at.is_none() { &to } else { &from });
+        prop_assert!(target.held.is_empty());
+        prop_assert_eq!(&target.model, if fails_at.is_none() { &to } else { &from });
     }
 }
 
@@ -336,7 +338,7 @@
 fn every_cut_of_the_versions_file_keeps_whole_versions() {
     let mut versions = Versions::new("abc".into(), 100_000);
     for number in 1..4 {
-        versions = versions.with(version(number, "limits: {}\n# \"x\"\n")).unwrap();
+        versions = versions.with_version(version(number, "limits: {}\n# \"x\"\n")).unwrap();
     }
     let bytes = versions.encode();
     assert_eq!(Versions::decode(&bytes, 100_000).unwrap(), (versions.clone(), bytes.len()));
@@ -360,144 +362,171 @@
 #[test]
 fn the_oldest_versions_go_and_the_one_that_a_window_leads_back_to_stays() {
     let mut versions = Versions::new("abc".into(), 100_000);
-    versions = versions.with(version(1, "")).unwrap();
+    versions = versions.with_version(version(1, "")).unwrap();
     for number in 2..40 {
         let window = Some(Window { until_ms: 9, back_to: 1 });
-        versions = versions.with(Version { window, ..version(number, "") }).unwrap();
+        versions = versions.with_version(Version { window, ..version(number, "") }).unwrap();
     }
-    assert_eq!((versions.iter().count(), versions.get(1).is_some(), versions.number()), (MOST, true, 39));
+    assert_eq!(
+        (versions.iter().count(), versions.get(1).is_some(), versions.number()),
+        (MAX_VERSIONS, true, 39)
+    );
     let small = Versions::new("abc".into(), 4_000);
-    let small = (1..9).fold(small, |kept, number| kept.with(version(number, &"x".repeat(900))).unwrap());
+    let small =
+        (1..9).fold(small, |kept, number| kept.with_version(version(number, &"x".repeat(900))).unwrap());
     assert!(small.encode().len() <= 4_000 && small.iter().count() > 1);
-    assert!(small.with(version(9, &"x".repeat(5_000))).unwrap_err().what.contains("does not fit"));
-    assert_eq!(small.rebound(2_000).unwrap().iter().count(), 1);
+    assert!(small.with_version(version(9, &"x".repeat(5_000))).unwrap_err().what.contains("does not fit"));
+    assert_eq!(small.with_bound(2_000).unwrap().iter().count(), 1);
 }
 
 #[test]
 fn lines_at_the_end_of_the_file_say_the_same_as_a_new_one() {
-    let mut versions = Versions::new("abc".into(), 6_000).with(version(1, "")).unwrap();
+    let mut versions = Versions::new("abc".into(), 6_000).with_version(version(1, "")).unwrap();
     let mut bytes = versions.encode();
     for number in 2..40u64 {
         let staged = Staged { from: number - 1, at_ms: 1, who: "ana".into(), document: "x".into() };
         let window = (number % 3 == 0).then_some(Window { until_ms: 9, back_to: number - 1 });
         let next = versions.with_staged((number % 2 == 0).then_some(staged)).unwrap();
-        let put = next.with(Version { window, ..version(number, "limits: {}\n") }).unwrap();
+        let put = next.with_version(Version { window, ..version(number, "limits: {}\n") }).unwrap();
         let done = if number % 6 == 0 { put.confirmed() } else { put.clone() };
         for (from, to) in [(&versions, &next), (&next, &put), (&put, &done)] {
-            bytes.extend(to.since(from));
+            bytes.extend(to.lines_since(from));
             assert_eq!(&Versions::decode(&bytes, 6_000).unwrap().0, to);
         }
         versions = done;
     }
 }
 
-// ---- The desk ----
+// ---- The change_service ----
 
 #[test]
 fn a_change_made_from_another_version_loses_and_both_are_named() {
-    let mut desk = desk();
-    put(&mut desk, change("limits: {slots: 7}", Some(1), None), ms(2_000));
-    let refusal = desk.weigh(change("limits: {slots: 8}", Some(1), None), ms(2_001), &files()).err().unwrap();
+    let mut change_service = change_service();
+    put(&mut change_service, change("limits: {slots: 7}", Some(1), None), ms(2_000));
+    let refusal = change_service
+        .plan_change(change("limits: {slots: 8}", Some(1), None), ms(2_001), &files())
+        .err()
+        .unwrap();
     assert_eq!(refusal.status, 412);
     let text = refusal.problems.to_string();
     assert!(text.contains("made from version 1, but version 2 is in force"), "{text}");
-    assert_eq!(desk.model().core.settings.slots, 7);
+    assert_eq!(change_service.model().core.settings.slots, 7);
 }
 
 #[test]
 fn a_window_keeps_others_out_and_goes_back_unless_confirmed() {
-    let trial = Trial { for_ms: 500, stays: false, bounds: Bounds::default() };
-    let mut desk = desk();
-    put(&mut desk, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
-    let other = desk.weigh(change("limits: {slots: 8}", None, None), ms(2_100), &files());
+    let trial = Trial { duration_ms: 500, keep_on_expiry: false, bounds: Bounds::default() };
+    let mut change_service = change_service();
+    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
+    let other = change_service.plan_change(change("limits: {slots: 8}", None, None), ms(2_100), &files());
     assert_eq!(other.err().unwrap().status, 409);
-    assert!(desk.turn(ms(2_499), Sums::default(), Micros(0)).is_none());
-    let back = desk.turn(ms(2_500), Sums::default(), Micros(0)).expect("goes back");
-    put(&mut desk, back, ms(2_500));
-    assert_eq!((desk.model().core.settings.slots, desk.versions().number()), (6, 3));
-    assert!(desk.turn(ms(9_000), Sums::default(), Micros(0)).is_none());
+    assert!(change_service.check_window(ms(2_499), ServiceCounts::default(), Micros(0)).is_none());
+    let back =
+        change_service.check_window(ms(2_500), ServiceCounts::default(), Micros(0)).expect("goes back");
+    put(&mut change_service, back, ms(2_500));
+    assert_eq!((change_service.model().core.settings.slots, change_service.versions().number()), (6, 3));
+    assert!(change_service.check_window(ms(9_000), ServiceCounts::default(), Micros(0)).is_none());
     // Confirmed, it stays.
-    put(&mut desk, change("limits: {slots: 7}", None, Some(trial)), ms(10_000));
-    let confirmed = desk.confirm().unwrap();
-    desk.keep(confirmed);
-    assert!(desk.turn(ms(20_000), Sums::default(), Micros(0)).is_none());
-    assert_eq!(desk.confirm().err().unwrap().status, 409);
+    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(10_000));
+    let confirmed = change_service.confirm().unwrap();
+    change_service.replace_versions(confirmed);
+    assert!(change_service.check_window(ms(20_000), ServiceCounts::default(), Micros(0)).is_none());
+    assert_eq!(change_service.confirm().err().unwrap().status, 409);
 }
 
 #[test]
 fn a_probation_ends_at_once_where_offers_are_turned_down_and_stays_where_not() {
     let bounds = Bounds { turn_downs: Some(0.1), turn_ms: None };
-    let trial = Trial { for_ms: 5_000, stays: true, bounds };
-    let mut desk = desk();
-    put(&mut desk, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
-    let bad = Sums { taken_on: 80, turned_down: 20, listener_failures: 0 };
-    assert!(desk.turn(ms(2_010), bad, Micros(0)).unwrap().why.contains("20% of offers turned down"));
-    let good = Sums { taken_on: 980, turned_down: 20, listener_failures: 0 };
-    assert!(desk.turn(ms(7_000), good, Micros(0)).is_none() && desk.passed(ms(7_000)));
+    let trial = Trial { duration_ms: 5_000, keep_on_expiry: true, bounds };
+    let mut change_service = change_service();
+    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
+    let bad = ServiceCounts { accepted: 80, rejected: 20, listener_failures: 0 };
+    assert!(change_service
+        .check_window(ms(2_010), bad, Micros(0))
+        .unwrap()
+        .why
+        .contains("20% of offers turned down"));
+    let good = ServiceCounts { accepted: 980, rejected: 20, listener_failures: 0 };
+    assert!(
+        change_service.check_window(ms(7_000), good, Micros(0)).is_none()
+            && change_service.probation_passed(ms(7_000))
+    );
 }
 
 #[test]
 fn a_start_within_a_window_goes_back_and_one_after_does_not() {
-    let trial = Trial { for_ms: 60_000, stays: false, bounds: Bounds::default() };
-    let mut desk = desk();
-    put(&mut desk, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
-    let kept = Versions::decode(&desk.versions().encode(), 100_000).unwrap().0;
-    let next = desk_with(kept, Some("limits: {slots: 9}"), ms(3_000));
+    let trial = Trial { duration_ms: 60_000, keep_on_expiry: false, bounds: Bounds::default() };
+    let mut change_service = change_service();
+    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
+    let kept = Versions::decode(&change_service.versions().encode(), 100_000).unwrap().0;
+    let next = change_service_with(kept, Some("limits: {slots: 9}"), ms(3_000));
     assert_eq!((next.model().core.settings.slots, next.versions().number()), (6, 3));
     assert_eq!(next.versions().current().unwrap().why, "version 2 was not confirmed");
-    let again = desk_with(next.versions().clone(), None, ms(4_000));
+    let again = change_service_with(next.versions().clone(), None, ms(4_000));
     assert_eq!((again.model().core.settings.slots, again.versions().number()), (6, 3));
-    let confirmed = desk.confirm().unwrap();
-    let next = desk_with(confirmed, None, ms(3_000));
+    let confirmed = change_service.confirm().unwrap();
+    let next = change_service_with(confirmed, None, ms(3_000));
     assert_eq!((next.model().core.settings.slots, next.versions().number()), (7, 2));
 }
 
 #[test]
 fn a_start_runs_the_last_version_and_not_an_edited_file() {
-    let mut desk = desk();
-    put(&mut desk, change("limits: {slots: 7}", None, None), ms(2_000));
+    let mut change_service = change_service();
+    put(&mut change_service, change("limits: {slots: 7}", None, None), ms(2_000));
     let file = Some("limits: {slots: 9}");
     let (next, notes) =
-        Desk::start(base(), desk.versions().clone(), file, false, &files(), ms(3_000)).unwrap();
+        ChangeService::start(base(), change_service.versions().clone(), file, false, &files(), ms(3_000))
+            .unwrap();
     assert_eq!((next.model().core.settings.slots, next.versions().number()), (7, 2));
     assert!(notes.iter().any(|note| note.contains("the file differs")), "{notes:?}");
-    let fresh = Desk::start(base(), desk.versions().clone(), file, true, &files(), ms(3_000)).unwrap().0;
+    let fresh =
+        ChangeService::start(base(), change_service.versions().clone(), file, true, &files(), ms(3_000))
+            .unwrap()
+            .0;
     assert_eq!((fresh.model().core.settings.slots, fresh.versions().number()), (9, 3));
     // A version that the platform's file no longer allows gives way to one before it.
     let mut smaller = base();
     smaller.tenants = vec!["ria".into()];
     smaller.settings.tenants = vec![1.0];
     let logins = "amqp: {tenants: [{tenant: onda, user: u, password: p}]}";
-    put(&mut desk, change(logins, None, None), ms(4_000));
+    put(&mut change_service, change(logins, None, None), ms(4_000));
     let (next, notes) =
-        Desk::start(smaller, desk.versions().clone(), None, false, &files(), ms(5_000)).unwrap();
+        ChangeService::start(smaller, change_service.versions().clone(), None, false, &files(), ms(5_000))
+            .unwrap();
     assert_eq!((next.model().core.settings.slots, next.versions().number()), (7, 4));
     assert!(notes.iter().any(|note| note.contains("cannot run any more")), "{notes:?}");
 }
 
 #[test]
 fn an_undo_goes_to_any_kept_version_by_the_same_path() {
-    let mut desk = desk();
+    let mut change_service = change_service();
     for slots in 7..12 {
-        put(&mut desk, change(&format!("limits: {{slots: {slots}}}"), None, None), ms(2_000));
+        put(&mut change_service, change(&format!("limits: {{slots: {slots}}}"), None, None), ms(2_000));
     }
-    assert_eq!(desk.before(), Some(5));
-    let back = desk.back(2, "ana".into(), "".into()).unwrap();
-    put(&mut desk, back, ms(3_000));
-    assert_eq!((desk.model().core.settings.slots, desk.versions().number()), (7, 7));
-    assert_eq!(desk.versions().current().unwrap().digest, desk.versions().get(2).unwrap().digest);
-    assert_eq!(desk.back(99, "ana".into(), "".into()).err().unwrap().status, 404);
+    assert_eq!(change_service.previous_version(), Some(5));
+    let back = change_service.rollback_to(2, "ana".into(), "".into()).unwrap();
+    put(&mut change_service, back, ms(3_000));
+    assert_eq!((change_service.model().core.settings.slots, change_service.versions().number()), (7, 7));
+    assert_eq!(
+        change_service.versions().current().unwrap().digest,
+        change_service.versions().get(2).unwrap().digest
+    );
+    assert_eq!(change_service.rollback_to(99, "ana".into(), "".into()).err().unwrap().status, 404);
 }
 
 #[test]
 fn a_change_of_nothing_makes_no_version_and_a_bad_one_changes_nothing() {
-    let mut desk = desk();
-    put(&mut desk, change("limits: {slots: 6}\n# said anew\n", None, None), ms(2_000));
-    assert_eq!(desk.versions().number(), 1);
-    let before = desk.versions().clone();
-    let refusal = desk.weigh(change("limits: {slots: 0}", None, None), ms(2_000), &files()).err().unwrap();
-    assert_eq!((refusal.status, desk.versions()), (422, &before));
-    let staged = desk.stage("limits: {slots: 8}".into(), "ana".into(), ms(3_000), &files()).unwrap();
+    let mut change_service = change_service();
+    put(&mut change_service, change("limits: {slots: 6}\n# said anew\n", None, None), ms(2_000));
+    assert_eq!(change_service.versions().number(), 1);
+    let before = change_service.versions().clone();
+    let refusal = change_service
+        .plan_change(change("limits: {slots: 0}", None, None), ms(2_000), &files())
+        .err()
+        .unwrap();
+    assert_eq!((refusal.status, change_service.versions()), (422, &before));
+    let staged =
+        change_service.stage("limits: {slots: 8}".into(), "ana".into(), ms(3_000), &files()).unwrap();
     assert_eq!(Versions::decode(&staged.encode(), 100_000).unwrap().0.staged(), staged.staged());
     assert_eq!(staged.staged().unwrap().from, 1);
 }
