--- a/src/config/desk.rs
+++ b/src/config/desk.rs
@@ -1,5 +1,6 @@
-//! Decides about requests for a change: which version they were made from, whether a window is open, what they would
-//! change. Holds what is in force. No I/O but the reading of secrets' files, through [`SecretFiles`].
+//! The change service: it holds the effective configuration and its history, and decides about requests for a
+//! change by the version that they were made from, an open window, and their checks. It does no I/O except
+//! that it reads the files of secrets through [`SecretFiles`].
 
 use super::document::{self, line_of, Document};
 use super::model::{self, differences, digest, merge, Difference, Model, Outline, PlatformConfig};
@@ -10,73 +11,74 @@
 use super::versions::{Staged, Version, Versions, Window};
 use crate::Micros;
 
-/// A window is no longer than this.
+/// Longest window in which a version can be on trial.
 pub const MAX_WINDOW_MS: u64 = 24 * 3600 * 1000;
-/// Longest reason that is kept.
+/// Maximum stored length of a reason.
 const MAX_WHY_CHARS: usize = 256;
 
-/// What the window of a version asks for.
+/// The conditions under which a version is put on trial.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trial {
-    /// How long it is, in milliseconds.
+    /// Length of the window in milliseconds.
     pub duration_ms: u64,
-    /// At its end the version keep_on_expiry unless it was confirmed; else it goes back.
+    /// Whether the version is kept at the end of the window; otherwise it is rolled back unless it was
+    /// confirmed.
     pub keep_on_expiry: bool,
-    /// It goes back at once when the service is out of these.
+    /// The version is rolled back at once when the service leaves these bounds.
     pub bounds: Bounds,
 }
 
-/// A change that is asked for.
+/// A requested change.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The operators' file.
+    /// Text of the operators' file.
     pub document: String,
-    /// The platform's file, where it was read again.
+    /// The platform's file, if it was read again.
     pub base: Option<PlatformConfig>,
-    /// The version that it was made from; none takes whichever is in force.
+    /// The version that the change was made from; `None` accepts any version in force.
     pub from: Option<u64>,
-    /// By whom.
+    /// Who requests the change.
     pub who: String,
-    /// What for.
+    /// Reason of the change.
     pub why: String,
-    /// Whether it must prove itself.
+    /// Set if the new version starts on trial.
     pub trial: Option<Trial>,
-    /// It leads back: an open window does not keep it out.
+    /// Whether the change restores an earlier version; an open window does not block it.
     pub is_rollback: bool,
 }
 
-/// Why a request is not carried out. The status is HTTP's.
+/// Why a request is rejected, with an HTTP status.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// 404, 409, 412, 422, 503 or 507.
+    /// HTTP status: 404, 409, 412, 422, 503 or 507.
     pub status: u16,
     /// What is wrong.
     pub problems: Problems,
 }
 
 impl Refusal {
-    /// One with a single problem.
+    /// Creates a refusal with a single problem.
     pub fn new(status: u16, what: impl Into<String>, remedy: impl Into<String>) -> Refusal {
         Refusal { status, problems: Problem::new("", what, remedy).into() }
     }
 }
 
-/// A change that has passed every check, ready to be put in force.
+/// A change that has passed all checks and can be applied.
 pub struct PlannedChange {
-    /// Its steps.
+    /// Steps of the change.
     pub steps: Vec<Step>,
-    /// What will be in force.
+    /// The configuration after the change.
     pub model: Model,
-    /// The history with it.
+    /// The history after the change.
     pub versions: Versions,
-    /// What differs.
+    /// Values that the change alters.
     pub differences: Vec<Difference>,
     outline: Outline,
     base: Option<PlatformConfig>,
     trial: Option<Trial>,
 }
 
-/// An open window.
+/// The window of a version that is on trial.
 #[derive(Debug)]
 struct OpenWindow {
     until: Micros,
@@ -85,7 +87,7 @@
     probation: Probation,
 }
 
-/// See the module's text.
+/// The change service, see the module documentation.
 pub struct ChangeService {
     base: PlatformConfig,
     versions: Versions,
@@ -94,7 +96,7 @@
     open_window: Option<OpenWindow>,
 }
 
-/// Reads a document and lays it over the platform's file; problems carry their lines.
+/// Parses a document and merges it over the platform's file; problems include their lines.
 pub fn check(
     base: &PlatformConfig,
     text: &str,
@@ -103,9 +105,9 @@
     let (document, node) = document::parse(text.as_bytes())?;
     match merge(base, &document, files) {
         Ok(model) => Ok((document, model)),
-        Err(told) => {
+        Err(unlocated) => {
             let mut problems = Problems::default();
-            for problem in told.list() {
+            for problem in unlocated.list() {
                 problems.add(Problem { line: line_of(&node, &problem.path), ..problem.clone() });
             }
             Err(problems)
@@ -113,12 +115,13 @@
     }
 }
 
-/// What a start found, for those on call.
+/// Log lines about a start, for operators.
 pub type StartNotes = Vec<String>;
 
 impl ChangeService {
-    /// At a start: the last version kept runs, or the file where there is none, or where `fresh` asks for it. A version
-    /// whose window was open goes back. What is to be written comes in [`ChangeService::versions`].
+    /// Determines the configuration at a start of the process: the last stored version, or the operators'
+    /// file if there is no version or `fresh` is set. A version whose window is open is rolled back. The
+    /// history to be written is in [`ChangeService::versions`].
     pub fn start(
         base: PlatformConfig,
         versions: Versions,
@@ -130,42 +133,44 @@
         let mut notes = StartNotes::new();
         let at_ms = at.0 / 1000;
         let last = versions.current().cloned();
-        // Documents to try, in this order, each with what to say of it.
-        let mut tries: Vec<(String, String)> = Vec::new();
+        // Candidate documents in order of preference, each with the reason that the history records.
+        let mut candidates: Vec<(String, String)> = Vec::new();
         match &last {
             Some(last) if !fresh => {
                 if let Some(window) = &last.window {
                     let back = versions.get(window.back_to);
                     let why = format!("version {} was not confirmed", last.number);
-                    tries.extend(back.map(|version| (version.document.clone(), why)));
+                    candidates.extend(back.map(|version| (version.document.clone(), why)));
                 }
-                tries.push((last.document.clone(), String::new()));
+                candidates.push((last.document.clone(), String::new()));
                 let older = versions.iter().rev().skip(1);
-                tries.extend(
+                candidates.extend(
                     older.map(|old| (old.document.clone(), format!("back to version {}", old.number))),
                 );
                 if file.is_some_and(|file| file != last.document) {
-                    notes.push("the file differs from the version in force; SIGHUP takes it over".to_owned());
+                    notes.push("the file differs from the version in force; SIGHUP applies it".to_owned());
                 }
             }
-            _ => tries.push((file.unwrap_or_default().to_owned(), "first start with this file".to_owned())),
+            _ => candidates
+                .push((file.unwrap_or_default().to_owned(), "first start with this file".to_owned())),
         }
         let mut failed: Option<Problems> = None;
-        for (document, why) in tries {
+        for (document, why) in candidates {
             let (_, model) = match check(&base, &document, files) {
                 Ok(checked) => checked,
                 Err(problems) => {
-                    notes.push(format!("a version cannot run any more: {problems}").replace('\n', "; "));
+                    notes
+                        .push(format!("a stored version is no longer valid: {problems}").replace('\n', "; "));
                     failed.get_or_insert(problems);
                     continue;
                 }
             };
             let outline = model.outline(versions.salt());
             let digest = digest(&outline);
-            let same = last.as_ref().is_some_and(|last| {
+            let unchanged = last.as_ref().is_some_and(|last| {
                 last.digest == digest && last.document == document && last.window.is_none()
             });
-            let versions = if same {
+            let versions = if unchanged {
                 versions
             } else {
                 let why =
@@ -184,17 +189,17 @@
         Err(failed.unwrap_or_default())
     }
 
-    /// What is in force.
+    /// The effective configuration.
     pub fn model(&self) -> &Model {
         &self.model
     }
 
-    /// The same as text, by path.
+    /// The effective configuration as text by path.
     pub fn outline(&self) -> &Outline {
         &self.outline
     }
 
-    /// The platform's file as last read.
+    /// The settings of the platform's file, as last read.
     pub fn base(&self) -> &PlatformConfig {
         &self.base
     }
@@ -204,44 +209,45 @@
         &self.versions
     }
 
-    /// How long an open window still is.
+    /// Remaining time of the open window.
     pub fn window_left(&self, now: Micros) -> Option<Micros> {
         self.open_window.as_ref().map(|open| open.until.minus(now))
     }
 
-    /// When [`ChangeService::turn`] is due though nothing happens.
+    /// The time at which [`ChangeService::check_window`] must be called even if nothing else happens.
     pub fn due(&self) -> Option<Micros> {
         self.open_window.as_ref().map(|open| open.until)
     }
 
-    /// Called each turn: whether the version in force must go back, and to what. Cost: none while no window is open.
+    /// Called in each loop iteration: returns the rollback if the version in force must be rolled back. It
+    /// does nothing while no window is open.
     pub fn check_window(&mut self, now: Micros, counts: ServiceCounts, iteration: Micros) -> Option<Change> {
         let open = self.open_window.as_mut()?;
-        let over = open.until <= now;
-        if over && open.keep_on_expiry {
+        let is_expired = open.until <= now;
+        if is_expired && open.keep_on_expiry {
             return None;
         }
         let why = match open.probation.violation(counts, iteration) {
             Some(why) => why,
-            None if over => "not confirmed in time".to_owned(),
+            None if is_expired => "not confirmed in time".to_owned(),
             None => return None,
         };
         let to = open.back_to;
         self.rollback_to(to, "probation".to_owned(), why).ok()
     }
 
-    /// Whether a probation has been passed: then the version is to be confirmed.
+    /// Whether a version has passed its probation; the caller then confirms it.
     pub fn probation_passed(&self, now: Micros) -> bool {
         self.open_window.as_ref().is_some_and(|open| open.keep_on_expiry && open.until <= now)
     }
 
-    /// A change that leads back to a version.
+    /// Creates the change that restores a version.
     pub fn rollback_to(&self, to: u64, who: String, why: String) -> Result<Change, Refusal> {
         let Some(version) = self.versions.get(to) else {
             return Err(Refusal::new(
                 404,
                 format!("version {to} is not kept"),
-                "see the history for those that are",
+                "see the history for the versions that are kept",
             ));
         };
         let why = format!("back to version {to}: {why}");
@@ -249,7 +255,7 @@
         Ok(Change { document, base: None, from: None, who, why, trial: None, is_rollback: true })
     }
 
-    /// The version before the one in force, for an undo that names none.
+    /// The version that an undo restores if it names none.
     pub fn previous_version(&self) -> Option<u64> {
         match &self.open_window {
             Some(open) => Some(open.back_to),
@@ -257,7 +263,7 @@
         }
     }
 
-    /// The history with another candidate.
+    /// Checks a candidate and returns the history in which it is staged.
     pub fn stage(
         &self,
         document: String,
@@ -270,7 +276,7 @@
         self.versions.with_staged(Some(staged)).map_err(storage_full)
     }
 
-    /// What a document would change.
+    /// The values that a document would change.
     pub fn diff(&self, document: &str, files: &dyn SecretFiles) -> Result<Vec<Difference>, Refusal> {
         let model = self.check_changeable(&self.base, document, files)?;
         Ok(differences(&self.outline, &model.outline(self.versions.salt())))
@@ -283,12 +289,12 @@
         files: &dyn SecretFiles,
     ) -> Result<Model, Refusal> {
         let checked = check(base, document, files).map_err(|problems| Refusal { status: 422, problems })?;
-        // What a running process cannot do is told by a check, too.
+        // A check also reports changes that a running process cannot make.
         plan(&self.model, &checked.1).map_err(|problems| Refusal { status: 422, problems })?;
         Ok(checked.1)
     }
 
-    /// A change, checked and planned. Nothing has been done yet.
+    /// Checks and plans a change, without any effect yet.
     pub fn plan_change(
         &self,
         change: Change,
@@ -298,7 +304,11 @@
         let number = self.versions.number();
         if let Some(from) = change.from.filter(|&from| from != number) {
             let what = format!("made from version {from}, but version {number} is in force");
-            return Err(Refusal::new(412, what, "look at what has changed, and make it from that one"));
+            return Err(Refusal::new(
+                412,
+                what,
+                "review what has changed, and make the change from that version",
+            ));
         }
         if let Some(open) = self.open_window.as_ref().filter(|_| !change.is_rollback) {
             let (left, back) = (open.until.minus(now).0 / 1_000_000, open.back_to);
@@ -329,14 +339,14 @@
                 window,
             })
         };
-        // Where the folder gets smaller with this change, the history does so first.
+        // If the change reduces the size of the state folder, the history is trimmed first.
         let versions =
             versions.and_then(|versions| versions.with_bound(super::store::max_versions_bytes(model.disk)));
         let versions = versions.map_err(storage_full)?;
         Ok(PlannedChange { steps, model, versions, differences, outline, base: change.base, trial })
     }
 
-    /// A planned change is in force.
+    /// Records that a planned change has been applied.
     pub fn complete(&mut self, planned: PlannedChange, now: Micros, counts: ServiceCounts) {
         let back_to = self.versions.number();
         if let Some(base) = planned.base {
@@ -352,15 +362,15 @@
         debug_assert_eq!(self.versions.current().map(|v| &v.digest), Some(&digest(&self.outline)));
     }
 
-    /// The history with the version in force confirmed.
+    /// Returns the history in which the version in force is confirmed.
     pub fn confirm(&self) -> Result<Versions, Refusal> {
         if self.open_window.is_none() {
-            return Err(Refusal::new(409, "no version is on trial", "nothing is to be done"));
+            return Err(Refusal::new(409, "no version is on trial", "there is nothing to confirm"));
         }
         Ok(self.versions.confirmed())
     }
 
-    /// The history was written.
+    /// Replaces the history after it was written; closes the window if the version in force is confirmed.
     pub fn replace_versions(&mut self, versions: Versions) {
         if versions.current().is_some_and(|version| version.window.is_none()) {
             self.open_window = None;
@@ -368,7 +378,8 @@
         self.versions = versions;
     }
 
-    /// What is in force is that of one version: an invariant, for tests and assertions.
+    /// Whether the effective configuration is the one of the current version: an invariant for tests and
+    /// assertions.
     pub fn is_consistent(&self) -> bool {
         let outline = self.model.outline(self.versions.salt());
         self.versions.current().is_some_and(|version| version.digest == model::digest(&outline))
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,5 +1,5 @@
-//! The sections of the operators' file. A key is optional where its type is an `Option`; what the file omits is
-//! taken from the platform's file. Names of keys include the unit.
+//! The sections of the operators' file. A key is optional where its type is an `Option`; what the file omits
+//! is taken from the platform's file. Names of keys include the unit.
 
 #![allow(non_snake_case)] // Some keys have the spelling of the discovery protocol.
 
@@ -286,17 +286,19 @@
         listen: SocketAddr;
         /// Address at which the other members reach this forwarder; default: `listen`.
         advertise: Option<SocketAddr>;
-        /// Members that this forwarder asks in order to join; the first of a cluster has none, or names itself.
+        /// Members that this forwarder asks in order to join; the first of a cluster has none, or names
+        /// itself.
         seeds: Option<Vec<SocketAddr>>;
-        /// Key shared by all members: a process without it cannot join, and its datagrams are dropped. At least
-        /// 16 bytes.
+        /// Key shared by all members: a process without it cannot join, and its datagrams are dropped. At
+        /// least 16 bytes.
         key: Option<Secret>;
         /// Interval between probes, each of one member, in milliseconds; default 200.
         probe_interval_ms: Option<f64> = 20.0 ..= 60_000.0;
         /// A suspect is declared dead after at least this times log10(members) probe intervals; default 3.5.
         suspicion_multiplier: Option<f64> = 1.0 ..= 100.0;
         /// Names of the members that decide which forwarders go out of service for maintenance
-        /// (`docs/maintenance.md`). The list must be the same on all members; where absent, no forwarder goes out.
+        /// (`docs/maintenance.md`). The list must be the same on all members; where absent, no forwarder goes
+        /// out.
         voters: Option<Vec<String>>;
     }
 }
@@ -310,7 +312,8 @@
         name: Option<String>;
         /// Tenant to which the token is limited; where absent, it can read and change everything.
         tenant: Option<String>;
-        /// Rate limit of requests with this token. Default for a tenant's token: 50 per second and 100 at once.
+        /// Rate limit of requests with this token. Default for a tenant's token: 50 per second and 100 at
+        /// once.
         requests: Option<Arrivals>;
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration: the settings, and how a change of them is checked, planned, applied atomically and undone. Nothing
-//! here opens a socket; only `store` reads files, and `secret` those of secrets. Design:
+//! Configuration: the settings, and how a change of them is checked, planned, applied atomically and undone.
+//! Nothing here opens a socket; only `store` reads files, and `secret` those of secrets. Design:
 //! `docs/configuration-design.md`.
 
 #[macro_use]
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -1,5 +1,5 @@
-//! What is in force, or would be: the operators' file laid over the platform's, with every relation between settings
-//! checked. A model is a set of parts; a change of it is a list of parts that differ.
+//! The effective configuration: the operators' file merged over the platform's, with the relations between
+//! settings checked. A model is a set of parts; a change of it is the list of parts that differ.
 
 use super::document::{self, Class, Document, Form, Level, Log, Repeats, Scope, Tenant};
 use super::members::{self, Membership};
@@ -14,27 +14,28 @@
 use std::fmt::Display;
 use std::net::SocketAddr;
 
-/// Descriptors kept from clients, for all else: journal, listeners, discovery, notices, and some to spare.
+/// Descriptors that clients cannot use: for the journal, listeners, discovery, delivery reports, and a few
+/// spare ones.
 pub const RESERVED_DESCRIPTORS: usize = 32;
-/// Connections to real servers at most, besides one for each call: idle ones.
+/// Idle connections to endpoints, in addition to one connection for each slot.
 pub const MAX_IDLE_ENDPOINT_CONNECTIONS: usize = 128;
-/// Clients have so many places at the least.
+/// Connections that clients can always open.
 pub const MIN_CLIENT_CONNECTIONS: usize = 16;
 
-/// What the platform's file says, as far as operators can set it too.
+/// The settings of the platform's file that the operators' file can override.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformConfig {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// File descriptors at most.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Bytes in the folder that lasts at most.
+    /// Maximum size of the state folder in bytes.
     pub disk: u64,
-    /// What the module is told.
+    /// Settings of the forwarding core.
     pub settings: Settings,
-    /// A connection not up by then has failed.
+    /// Time-out for connecting to an endpoint.
     pub dial_timeout: Micros,
     /// Names of classes, in the order of the settings.
     pub classes: Vec<String>,
@@ -44,44 +45,44 @@
     pub names: Names,
 }
 
-/// What the core is told: settings, and the names that their lists go by.
+/// Settings of the core, and the names by which its lists of classes and tenants are ordered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Core {
     /// Settings; classes and tenants in the order of the names.
     pub settings: Settings,
     /// Names of classes.
     pub classes: Vec<String>,
-    /// Names of tenants; none where there is only one, without a name.
+    /// Names of tenants; empty where there is a single unnamed tenant.
     pub tenants: Vec<String>,
-    /// Bytes of messages held at most; none beyond what the folder holds.
+    /// Maximum size of held messages in bytes; `None` where only the size of the state folder limits it.
     pub held_bytes: Option<u64>,
 }
 
-/// Who may publish.
+/// Credentials with which a client may publish for a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publisher {
-    /// The tenant, by name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// SASL PLAIN.
+    /// User name for SASL PLAIN.
     pub user: String,
-    /// SASL PLAIN.
+    /// Password for SASL PLAIN.
     pub password: SecretText,
 }
 
-/// A partner's broker.
+/// The broker of a destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broker {
-    /// Its name among the service entries.
+    /// Name among the endpoint records.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the broker listens.
     pub address: SocketAddr,
-    /// Its destination.
+    /// Number of the destination.
     pub cell: u64,
-    /// Its destination's kind, by index.
+    /// Index of the destination's kind.
     pub kind: usize,
-    /// SASL PLAIN.
+    /// User name for SASL PLAIN.
     pub user: String,
-    /// SASL PLAIN.
+    /// Password for SASL PLAIN.
     pub password: SecretText,
     /// Virtual host.
     pub vhost: String,
@@ -91,31 +92,31 @@
     pub routing_key: String,
 }
 
-/// Requests to the administration API with a tenant's token, where nothing is told: more than people and scripts need.
+/// Default rate limit of requests with a tenant's token: more than people and scripts need.
 const DEFAULT_TENANT_REQUESTS: Rate = Rate { a_second: 50.0, burst: 100 };
 
-/// Who may use the administration API.
+/// A bearer token of the administration API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Token {
     /// The secret.
     pub token: SecretText,
-    /// Its name in the history of changes.
+    /// Name shown in the history of changes.
     pub name: String,
-    /// Its tenant, by name; none sees all.
+    /// Name of the tenant to which the token is limited; `None` gives access to everything.
     pub tenant: Option<String>,
-    /// How fast requests with it may come; none as fast as they do.
+    /// Rate limit of requests with the token; `None` where there is no limit.
     pub requests: Option<Rate>,
 }
 
 macro_rules! parts {
     ($($(#[$doc:meta])* $variant:ident $field:ident: $type:ty;)*) => {
-        /// See the module's text.
+        /// The effective configuration, see the module documentation.
         #[derive(Clone, Debug, PartialEq)]
         pub struct Model {
             $($(#[$doc])* pub $field: $type,)*
         }
 
-        /// What a part is.
+        /// Identifies a part of the model.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum PartKind {
             $($(#[$doc])* $variant),*
@@ -128,12 +129,12 @@
         }
 
         impl PartKind {
-            /// All of them, in the order in which a change takes them.
+            /// All kinds, in the order in which a change prepares and commits the parts.
             pub const ALL: &'static [PartKind] = &[$(PartKind::$variant),*];
         }
 
         impl Part {
-            /// What it is.
+            /// Which part of the model this is.
             pub fn kind(&self) -> PartKind {
                 match self {
                     $(Part::$variant(_) => PartKind::$variant),*
@@ -142,21 +143,21 @@
         }
 
         impl Model {
-            /// A copy of a part.
+            /// Returns a copy of a part.
             pub fn part(&self, kind: PartKind) -> Part {
                 match kind {
                     $(PartKind::$variant => Part::$variant(self.$field.clone())),*
                 }
             }
 
-            /// Whether a part is the same in another model.
+            /// Whether the part has the same value in another model.
             pub fn part_equals(&self, other: &Model, kind: PartKind) -> bool {
                 match kind {
                     $(PartKind::$variant => self.$field == other.$field),*
                 }
             }
 
-            /// Puts a part in.
+            /// Replaces a part.
             pub fn set_part(&mut self, part: Part) {
                 match part {
                     $(Part::$variant(value) => self.$field = value),*
@@ -167,62 +168,62 @@
 }
 
 parts! {
-    /// File descriptors at most. First: whatever else is prepared takes some.
+    /// Maximum number of file descriptors. It is first because preparing other parts opens descriptors.
     Sockets sockets: usize;
-    /// Where clients of the platform's front connect.
+    /// Address on which clients of the platform's front connect.
     Listen listen: SocketAddr;
-    /// Where publishers connect; none while that front is off.
+    /// Address on which publishers connect; `None` while the AMQP front is off.
     AmqpListen amqp_listen: Option<SocketAddr>;
-    /// Where the administration API listens; none while it is off.
+    /// Address of the administration API; `None` while it is off.
     AdminListen admin_listen: Option<SocketAddr>;
-    /// The other forwarders of the fleet; none while that is off.
+    /// Membership among the forwarders of the fleet; `None` while it is off.
     Members members: Option<Membership>;
-    /// Bytes in the folder that lasts at most.
+    /// Maximum size of the state folder in bytes.
     Disk disk: u64;
-    /// What the core is told.
+    /// Settings of the core.
     Core core: Core;
-    /// A connection not up by then has failed.
+    /// Time-out for connecting to an endpoint.
     Dial dial_timeout: Micros;
-    /// Who may publish.
+    /// Credentials of publishers.
     Publishers publishers: Vec<Publisher>;
-    /// Partners behind brokers.
+    /// Brokers of destinations.
     Brokers brokers: Vec<Broker>;
-    /// Who may use the administration API.
+    /// Tokens of the administration API.
     Tokens tokens: Vec<Token>;
-    /// The resolver that is asked for DNS-SD records, and the service's name.
+    /// Address of the resolver for DNS-SD records, and name of the service.
     DnsSd dns_sd: Option<(SocketAddr, String)>;
-    /// The discovery agent.
+    /// Address of the discovery agent.
     Discovery discovery: SocketAddr;
-    /// Lines for those on call.
+    /// Level and format of log lines.
     Log log: (Level, Form);
-    /// Kinds and zones of endpoints: cannot change while the process runs.
+    /// Names of the endpoints' kinds and zones; they cannot change while the process runs.
     Names names: Names;
 }
 
-/// A value as it may be shown, and what tells it from another where it may not.
+/// The printable text of a value; for a secret, also a digest by which a change is recognized.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DisplayValue {
-    /// As text.
+    /// The value as text; a secret is redacted.
     pub text: String,
-    /// A secret's salted digest.
+    /// Salted digest of a secret.
     secret_digest: Option<String>,
 }
 
-/// All values of a model by path; items of lists by their names.
+/// All values of a model by path; items of lists are identified by name.
 pub type Outline = BTreeMap<String, DisplayValue>;
 
 /// A value that differs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Difference {
-    /// Where.
+    /// Path of the value.
     pub path: String,
-    /// Before; none where it is new.
+    /// Value before the change; `None` where it is added.
     pub from: Option<String>,
-    /// After; none where it goes.
+    /// Value after the change; `None` where it is removed.
     pub to: Option<String>,
 }
 
-/// What differs from one outline to another.
+/// The values that differ between two outlines.
 pub fn differences(from: &Outline, to: &Outline) -> Vec<Difference> {
     let paths: BTreeSet<&String> = from.keys().chain(to.keys()).collect();
     let changed = paths.into_iter().filter(|path| from.get(*path) != to.get(*path));
@@ -246,24 +247,24 @@
 }
 
 impl Model {
-    /// All values by path. Secrets are secret_digest; `salt` keeps their digests from being guessed at.
+    /// All values by path. Secrets are redacted; `salt` prevents guessing them from their digests.
     pub fn outline(&self, salt: &[u8]) -> Outline {
         let mut out = OutlineWriter(Outline::new(), salt);
         out.put("listen", self.listen);
         out.put("discovery", self.discovery);
-        let told = &self.core.settings;
-        out.put("limits.slots", told.slots);
-        out.put("limits.held_messages", told.max_open);
+        let settings = &self.core.settings;
+        out.put("limits.slots", settings.slots);
+        out.put("limits.held_messages", settings.max_open);
         if let Some(bytes) = self.core.held_bytes {
             out.put("limits.held_mb", bytes as f64 / 1e6);
         }
-        out.put("limits.max_attempts", told.max_attempts);
+        out.put("limits.max_attempts", settings.max_attempts);
         out.put("limits.sockets", self.sockets);
         out.put("limits.disk_mb", self.disk as f64 / 1e6);
         out.put("limits.dial_timeout_ms", self.dial_timeout.as_ms());
-        out.put("limits.server_idle_ms", told.connection_idle.as_ms());
-        out.put("limits.max_retry_after_ms", told.max_retry_after.as_ms());
-        for (name, class) in self.core.classes.iter().zip(&told.classes) {
+        out.put("limits.server_idle_ms", settings.connection_idle.as_ms());
+        out.put("limits.max_retry_after_ms", settings.max_retry_after.as_ms());
+        for (name, class) in self.core.classes.iter().zip(&settings.classes) {
             let at = |key: &str| format!("classes[{name}].{key}");
             match class.effect {
                 Effect::Safe => out.put(at("effect"), "retryable"),
@@ -279,25 +280,28 @@
             out.put(at("worth"), class.worth);
             out.put(at("late_share"), class.late_share);
         }
-        for (name, quota) in self.core.tenants.iter().zip(&told.tenants) {
+        for (name, quota) in self.core.tenants.iter().zip(&settings.tenants) {
             out.put(format!("tenants[{name}].quota_per_s"), quota);
         }
-        for (name, told) in self.core.tenants.iter().zip(&told.isolation) {
+        for (name, isolation) in self.core.tenants.iter().zip(&settings.isolation) {
             let at = |key: &str| format!("tenants[{name}].{key}");
-            out.put(at("weight"), told.weight);
-            for (key, part, unit) in
-                [("slots", told.slots, 1), ("held_messages", told.held, 1), ("held_kb", told.bytes, 1000)]
-            {
+            out.put(at("weight"), isolation.weight);
+            for (key, part, unit) in [
+                ("slots", isolation.slots, 1),
+                ("held_messages", isolation.held, 1),
+                ("held_kb", isolation.bytes, 1000),
+            ] {
                 part.guarantee.iter().for_each(|own| out.put(at(&format!("{key}.guarantee")), own / unit));
                 part.ceiling.iter().for_each(|most| out.put(at(&format!("{key}.ceiling")), most / unit));
             }
-            if let Some(rate) = told.arrivals {
+            if let Some(rate) = isolation.arrivals {
                 out.put(at("arrivals.per_s"), rate.a_second);
                 out.put(at("arrivals.burst"), rate.burst);
             }
         }
-        // What the platform alone tells: in the digest, so that two versions are told apart by it.
-        let rest = Settings { classes: Vec::new(), tenants: Vec::new(), ..told.clone() };
+        // Settings that only the platform's file has are included as a digest, so that versions with
+        // different ones have different digests.
+        let rest = Settings { classes: Vec::new(), tenants: Vec::new(), ..settings.clone() };
         let rest = Settings { isolation: Vec::new(), ..rest };
         let rest = Settings { slots: 0, max_open: 0, max_attempts: 0, ..rest };
         let (connection_idle, max_retry_after) = (Micros(0), Micros(0));
@@ -330,9 +334,9 @@
         if let Some(listen) = self.admin_listen {
             out.put("admin.listen", listen);
         }
-        if let Some(told) = &self.members {
-            told.outline(|key, value| out.put(format!("membership.{key}"), value));
-            told.key.iter().for_each(|key| out.hide("membership.key", key));
+        if let Some(members) = &self.members {
+            members.outline(|key, value| out.put(format!("membership.{key}"), value));
+            members.key.iter().for_each(|key| out.hide("membership.key", key));
         }
         for one in &self.tokens {
             out.hide(format!("admin.tokens[{}].token", one.name), &one.token);
@@ -348,55 +352,55 @@
     }
 }
 
-/// What a tenant is told of its parts.
+/// The shares, weight and rate limit of a tenant.
 fn isolation(tenant: &Tenant) -> Isolation {
-    let told = |part: &Option<document::Share>, unit: u64| {
-        let bound = |bound: fn(&document::Share) -> Option<u32>| {
-            part.as_ref().and_then(bound).map(|bound| u64::from(bound) * unit)
+    let read_share = |share: &Option<document::Share>, unit: u64| {
+        let bound = |field: fn(&document::Share) -> Option<u32>| {
+            share.as_ref().and_then(field).map(|bound| u64::from(bound) * unit)
         };
-        Told { guarantee: bound(|part| part.guarantee), ceiling: bound(|part| part.ceiling) }
+        Told { guarantee: bound(|share| share.guarantee), ceiling: bound(|share| share.ceiling) }
     };
     Isolation {
         weight: tenant.weight.unwrap_or(1.0),
-        slots: told(&tenant.slots, 1),
-        held: told(&tenant.held_messages, 1),
-        bytes: told(&tenant.held_kb, 1000),
+        slots: read_share(&tenant.slots, 1),
+        held: read_share(&tenant.held_messages, 1),
+        bytes: read_share(&tenant.held_kb, 1000),
         arrivals: tenant.arrivals.as_ref().map(rate),
     }
 }
 
-fn rate(told: &document::Arrivals) -> Rate {
-    let burst = told.burst.unwrap_or(told.per_s.ceil().min(f64::from(u32::MAX)) as u32);
-    Rate { a_second: told.per_s, burst: burst.max(1) }
+fn rate(arrivals: &document::Arrivals) -> Rate {
+    let burst = arrivals.burst.unwrap_or(arrivals.per_s.ceil().min(f64::from(u32::MAX)) as u32);
+    Rate { a_second: arrivals.per_s, burst: burst.max(1) }
 }
 
-/// Guarantees that are more than there is, and ceilings below them.
+/// Reports guarantees whose sum exceeds `size`, and ceilings below their guarantees.
 fn check_guarantees(problems: &mut Problems, tenants: &[Tenant], key: &str, size: u64) {
-    let part = |tenant: &Tenant| match key {
+    let share_of = |tenant: &Tenant| match key {
         "slots" => tenant.slots.clone(),
         "held_messages" => tenant.held_messages.clone(),
         _ => tenant.held_kb.clone(),
     };
     let mut sum = 0;
-    for (place, tenant) in tenants.iter().enumerate() {
-        let Some(part) = part(tenant) else { continue };
-        let own = u64::from(part.guarantee.unwrap_or(0));
+    for (index, tenant) in tenants.iter().enumerate() {
+        let Some(share) = share_of(tenant) else { continue };
+        let own = u64::from(share.guarantee.unwrap_or(0));
         sum += own;
-        let path = format!("tenants[{place}].{key}");
-        if part.ceiling.is_some_and(|ceiling| u64::from(ceiling) < own) {
-            let what = format!("a ceiling below the guarantee of {own}");
+        let path = format!("tenants[{index}].{key}");
+        if share.ceiling.is_some_and(|ceiling| u64::from(ceiling) < own) {
+            let what = format!("the ceiling is below the guarantee of {own}");
             problems.add(Problem::new(format!("{path}.ceiling"), what, "raise it, or guarantee less"));
         }
         if own > 0 && sum > size {
-            let what = format!("guarantees up to this tenant add up to {sum}, but there are {size} in all");
+            let what = format!("guarantees up to this tenant add up to {sum}, but only {size} are available");
             let left = (size + own).saturating_sub(sum);
-            let remedy = format!("guarantee {left} at most here, or less to others");
+            let remedy = format!("guarantee at most {left} here, or less to others");
             problems.add(Problem::new(format!("{path}.guarantee"), what, remedy));
         }
     }
 }
 
-/// The digest of an outline: the name of what is in force.
+/// The digest of an outline; it identifies the effective configuration.
 pub fn digest(outline: &Outline) -> String {
     let mut sum = Sha256::new();
     for (path, shown) in outline {
@@ -408,19 +412,20 @@
     hex(&sum.finalize())[..32].to_owned()
 }
 
-/// What clients may hold, of so many descriptors with so many slots.
+/// Maximum number of client connections, given the limit of descriptors and the number of slots.
 pub fn client_connection_limit(sockets: usize, slots: u32) -> usize {
     sockets
         .saturating_sub(RESERVED_DESCRIPTORS + endpoint_connection_limit(slots))
         .max(MIN_CLIENT_CONNECTIONS)
 }
 
-/// What real servers may hold.
+/// Maximum number of connections to endpoints.
 pub fn endpoint_connection_limit(slots: u32) -> usize {
     slots.min(1 << 16) as usize + MAX_IDLE_ENDPOINT_CONNECTIONS
 }
 
-/// Lays the operators' file over the platform's. All that is wrong is told; lines are added by who knows the file.
+/// Merges the operators' file over the platform's, or returns all problems. The caller, which has the file,
+/// adds the line numbers.
 pub fn merge(base: &PlatformConfig, document: &Document, files: &dyn SecretFiles) -> Result<Model, Problems> {
     let mut problems = Problems::default();
     let mut settings = base.settings.clone();
@@ -440,37 +445,51 @@
         let needed =
             RESERVED_DESCRIPTORS + endpoint_connection_limit(settings.slots) + MIN_CLIENT_CONNECTIONS;
         if (limits.sockets.is_some() || limits.slots.is_some()) && sockets < needed {
-            let what = format!("{sockets} descriptors do not suffice for {} slots", settings.slots);
-            problems.add(Problem::new("limits.sockets", what, format!("allow {needed}, or fewer slots")));
+            let what = format!("{sockets} descriptors are not enough for {} slots", settings.slots);
+            problems.add(Problem::new(
+                "limits.sockets",
+                what,
+                format!("allow {needed} descriptors, or fewer slots"),
+            ));
         }
         if (limits.slots.is_some() || limits.held_messages.is_some()) && settings.slots > settings.max_open {
-            let what = format!("{} slots for {} held messages", settings.slots, settings.max_open);
-            problems.add(Problem::new("limits.slots", what, "hold at least as many messages as may be out"));
+            let what =
+                format!("{} slots exceed the limit of {} held messages", settings.slots, settings.max_open);
+            problems.add(Problem::new("limits.slots", what, "allow at least as many held messages as slots"));
         }
     }
     let mut classes = base.classes.clone();
-    if let Some(told) = &document.classes {
-        if told.is_empty() {
-            problems.add(Problem::new("classes", "no class", "name at least one, or leave the key out"));
+    if let Some(listed) = &document.classes {
+        if listed.is_empty() {
+            problems.add(Problem::new(
+                "classes",
+                "the list is empty",
+                "name at least one class, or leave the key out",
+            ));
         }
-        check_unique_names(&mut problems, "classes", "name", told.iter().map(|class| class.name.as_str()));
-        classes = told.iter().map(|class| class.name.clone()).collect();
+        check_unique_names(&mut problems, "classes", "name", listed.iter().map(|class| class.name.as_str()));
+        classes = listed.iter().map(|class| class.name.clone()).collect();
         settings.classes =
-            told.iter().enumerate().map(|(place, told)| read_class(&mut problems, place, told)).collect();
+            listed.iter().enumerate().map(|(index, class)| read_class(&mut problems, index, class)).collect();
     }
     let mut tenants = base.tenants.clone();
-    if let Some(told) = &document.tenants {
-        check_unique_names(&mut problems, "tenants", "name", told.iter().map(|tenant| tenant.name.as_str()));
-        tenants = told.iter().map(|tenant| tenant.name.clone()).collect();
-        settings.tenants = told.iter().map(|tenant| tenant.quota_per_s).collect();
-        settings.isolation = told.iter().map(isolation).collect();
+    if let Some(listed) = &document.tenants {
+        check_unique_names(
+            &mut problems,
+            "tenants",
+            "name",
+            listed.iter().map(|tenant| tenant.name.as_str()),
+        );
+        tenants = listed.iter().map(|tenant| tenant.name.clone()).collect();
+        settings.tenants = listed.iter().map(|tenant| tenant.quota_per_s).collect();
+        settings.isolation = listed.iter().map(isolation).collect();
         let sizes = [
             ("slots", u64::from(settings.slots)),
             ("held_messages", u64::from(settings.max_open)),
             ("held_kb", held_bytes.unwrap_or(disk) / 1000),
         ];
         for (key, size) in sizes {
-            check_guarantees(&mut problems, told, key, size);
+            check_guarantees(&mut problems, listed, key, size);
         }
     }
     let known: BTreeSet<&str> = tenants.iter().map(String::as_str).collect();
@@ -482,22 +501,26 @@
     for (name, at) in [("amqp.listen", amqp_listen), ("admin.listen", admin_listen)] {
         let Some(at) = at.filter(|at| at.port() != 0) else { continue };
         if let Some(other) = taken.insert(at, name) {
-            problems.add(Problem::new(name, format!("the address of {other}"), "give each its own"));
+            problems.add(Problem::new(
+                name,
+                format!("the same address as {other}"),
+                "use a separate address for each",
+            ));
         }
     }
     let mut resolve = |path: String, secret: &Secret| -> SecretText {
         secret.resolve(files).unwrap_or_else(|problem| {
-            problems.add(Problem::new(path, problem, "write the secret, or a file that holds it"));
+            problems.add(Problem::new(path, problem, "write the secret, or name a file that contains it"));
             SecretText::new("")
         })
     };
     let mut publishers = Vec::new();
-    for (place, one) in amqp.and_then(|amqp| amqp.tenants.as_ref()).into_iter().flatten().enumerate() {
-        let password = resolve(format!("amqp.tenants[{place}].password"), &one.password);
+    for (index, one) in amqp.and_then(|amqp| amqp.tenants.as_ref()).into_iter().flatten().enumerate() {
+        let password = resolve(format!("amqp.tenants[{index}].password"), &one.password);
         publishers.push(Publisher { tenant: one.tenant.clone(), user: one.user.clone(), password });
     }
     let mut brokers = Vec::new();
-    for (place, one) in amqp.and_then(|amqp| amqp.brokers.as_ref()).into_iter().flatten().enumerate() {
+    for (index, one) in amqp.and_then(|amqp| amqp.brokers.as_ref()).into_iter().flatten().enumerate() {
         let kinds = &base.names.kinds;
         brokers.push(Broker {
             name: one.instanceId.clone(),
@@ -505,34 +528,36 @@
             cell: one.cell,
             kind: kinds.iter().position(|known| *known == one.machineType).unwrap_or(kinds.len()),
             user: one.user.clone(),
-            password: resolve(format!("amqp.brokers[{place}].password"), &one.password),
+            password: resolve(format!("amqp.brokers[{index}].password"), &one.password),
             vhost: one.vhost.clone(),
             exchange: one.exchange.clone(),
             routing_key: one.routing_key.clone(),
         });
     }
     let mut tokens = Vec::new();
-    for (place, one) in document.admin.iter().flat_map(|admin| admin.tokens.iter().flatten()).enumerate() {
-        let token = resolve(format!("admin.tokens[{place}].token"), &one.token);
-        let name = one.name.clone().unwrap_or_else(|| format!("token {}", place + 1));
+    for (index, one) in document.admin.iter().flat_map(|admin| admin.tokens.iter().flatten()).enumerate() {
+        let token = resolve(format!("admin.tokens[{index}].token"), &one.token);
+        let name = one.name.clone().unwrap_or_else(|| format!("token {}", index + 1));
         let usual = one.tenant.as_ref().map(|_| DEFAULT_TENANT_REQUESTS);
         let requests = one.requests.as_ref().map(rate).or(usual);
         tokens.push(Token { token, name, tenant: one.tenant.clone(), requests });
     }
-    let told = document.membership.as_ref();
-    let key = told.and_then(|told| told.key.as_ref()).map(|key| resolve("membership.key".to_owned(), key));
-    let members = told.map(|told| members::read(&mut problems, told, key));
-    for (place, one) in publishers.iter().enumerate().filter(|(_, one)| !known.contains(one.tenant.as_str()))
+    let membership = document.membership.as_ref();
+    let key = membership
+        .and_then(|section| section.key.as_ref())
+        .map(|key| resolve("membership.key".to_owned(), key));
+    let members = membership.map(|section| members::read(&mut problems, section, key));
+    for (index, one) in publishers.iter().enumerate().filter(|(_, one)| !known.contains(one.tenant.as_str()))
     {
-        report_unknown_tenant(&mut problems, format!("amqp.tenants[{place}].tenant"), &one.tenant, &known);
+        report_unknown_tenant(&mut problems, format!("amqp.tenants[{index}].tenant"), &one.tenant, &known);
     }
-    for (place, one) in tokens.iter().enumerate() {
+    for (index, one) in tokens.iter().enumerate() {
         if let Some(tenant) = one.tenant.as_deref().filter(|tenant| !known.contains(tenant)) {
-            report_unknown_tenant(&mut problems, format!("admin.tokens[{place}].tenant"), tenant, &known);
+            report_unknown_tenant(&mut problems, format!("admin.tokens[{index}].tenant"), tenant, &known);
         }
-        if tokens[..place].iter().any(|other| other.token == one.token) {
-            let path = format!("admin.tokens[{place}].token");
-            problems.add(Problem::new(path, "the same as another token", "give each its own"));
+        if tokens[..index].iter().any(|other| other.token == one.token) {
+            let path = format!("admin.tokens[{index}].token");
+            problems.add(Problem::new(path, "the same as another token", "use a separate secret for each"));
         }
     }
     check_unique_names(&mut problems, "amqp.tenants", "user", publishers.iter().map(|one| one.user.as_str()));
@@ -567,8 +592,8 @@
 
 fn report_unknown_tenant(problems: &mut Problems, path: String, name: &str, known: &BTreeSet<&str>) {
     let list: Vec<&str> = known.iter().copied().take(20).collect();
-    let remedy = format!("name one of the tenants: {}", list.join(", "));
-    problems.add(Problem::new(path, format!("no tenant {name}"), remedy));
+    let remedy = format!("use one of the tenants: {}", list.join(", "));
+    problems.add(Problem::new(path, format!("unknown tenant {name}"), remedy));
 }
 
 fn check_unique_names<'a>(
@@ -578,47 +603,55 @@
     names: impl Iterator<Item = &'a str>,
 ) {
     let mut seen = HashMap::new();
-    for (place, name) in names.enumerate() {
-        if let Some(first) = seen.insert(name, place) {
-            let what = format!("{name} stands at {path}[{first}] too");
-            problems.add(Problem::new(format!("{path}[{place}].{key}"), what, "give each its own"));
+    for (index, name) in names.enumerate() {
+        if let Some(first) = seen.insert(name, index) {
+            let what = format!("{name} is already used at {path}[{first}]");
+            problems.add(Problem::new(format!("{path}[{index}].{key}"), what, "use a separate one for each"));
         }
         if name.is_empty() {
-            problems.add(Problem::new(format!("{path}[{place}].{key}"), "empty", "write a name"));
+            problems.add(Problem::new(format!("{path}[{index}].{key}"), "empty", "write a name"));
         }
     }
 }
 
-fn read_class(problems: &mut Problems, place: usize, told: &Class) -> ClassSettings {
-    let path = |key: &str| format!("classes[{place}].{key}");
-    if told.aim_ms > told.deadline_ms {
-        problems.add(Problem::new(path("aim_ms"), "longer than deadline_ms", "aim before the deadline"));
+fn read_class(problems: &mut Problems, index: usize, class: &Class) -> ClassSettings {
+    let path = |key: &str| format!("classes[{index}].{key}");
+    if class.aim_ms > class.deadline_ms {
+        problems.add(Problem::new(
+            path("aim_ms"),
+            "longer than deadline_ms",
+            "shorten it to at most deadline_ms",
+        ));
     }
-    let keyed = told.effect == Repeats::Dedup;
-    if keyed && told.window_ms.is_none() {
-        problems.add(Problem::new(path("window_ms"), "missing", "say for how long repeats are dropped"));
+    let keyed = class.effect == Repeats::Dedup;
+    if keyed && class.window_ms.is_none() {
+        problems.add(Problem::new(
+            path("window_ms"),
+            "missing",
+            "add the time for which receivers discard duplicates",
+        ));
     }
-    for (key, there) in [("window_ms", told.window_ms.is_some()), ("key_scope", told.key_scope.is_some())] {
+    for (key, there) in [("window_ms", class.window_ms.is_some()), ("key_scope", class.key_scope.is_some())] {
         if there && !keyed {
             problems.add(Problem::new(path(key), "only for effect dedup", "leave it out"));
         }
     }
-    let scope = match told.key_scope {
+    let scope = match class.key_scope {
         Some(Scope::All) => KeyScope::All,
         Some(Scope::Zone) => KeyScope::Zone,
         Some(Scope::Endpoint) | None => KeyScope::Endpoint,
     };
-    let effect = match told.effect {
+    let effect = match class.effect {
         Repeats::Retryable => Effect::Safe,
         Repeats::Fragile => Effect::Unsafe,
-        Repeats::Dedup => Effect::Keyed { scope, window: Micros::from_ms(told.window_ms.unwrap_or(0.0)) },
+        Repeats::Dedup => Effect::Keyed { scope, window: Micros::from_ms(class.window_ms.unwrap_or(0.0)) },
     };
     ClassSettings {
         effect,
         in_order: false,
-        aim: Micros::from_ms(told.aim_ms),
-        deadline: Micros::from_ms(told.deadline_ms),
-        worth: told.worth.unwrap_or(1.0),
-        late_share: told.late_share.unwrap_or(0.0),
+        aim: Micros::from_ms(class.aim_ms),
+        deadline: Micros::from_ms(class.deadline_ms),
+        worth: class.worth.unwrap_or(1.0),
+        late_share: class.late_share.unwrap_or(0.0),
     }
 }
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -1,4 +1,4 @@
-//! From one model to another: the steps, each with its undo, and what cannot change in a running process.
+//! Plans the change from one model to another: reversible steps, and the changes that need a restart.
 
 use super::model::{Model, Part, PartKind};
 use super::problem::{Problem, Problems};
@@ -6,41 +6,45 @@
 use std::collections::HashMap;
 use std::mem::discriminant;
 
-/// One part that changes.
+/// The change of one part of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// As it is.
+    /// The part before the change.
     pub from: Part,
-    /// As it shall be.
+    /// The part after the change.
     pub to: Part,
 }
 
 impl Step {
-    /// What it changes.
+    /// Which part the step changes.
     pub fn kind(&self) -> PartKind {
         self.to.kind()
     }
 
-    /// The step that takes it back.
+    /// The step that reverts this one.
     pub fn undo(&self) -> Step {
         Step { from: self.to.clone(), to: self.from.clone() }
     }
 
-    /// Does it to a model.
+    /// Applies the step to a model.
     pub fn apply(&self, model: &mut Model) {
-        debug_assert!(model.part(self.kind()) == self.from, "a step meets what it was made for");
+        debug_assert!(
+            model.part(self.kind()) == self.from,
+            "the model has the value that the step was planned from"
+        );
         model.set_part(self.to.clone());
     }
 }
 
-/// The steps from one model to another, or why there is no way in a running process. Cost: the size of the models.
+/// Plans the steps from one model to another, or returns why a running process cannot make the change. The
+/// cost is linear in the size of the models.
 pub fn plan(from: &Model, to: &Model) -> Result<Vec<Step>, Problems> {
     let mut problems = Problems::default();
     if !from.part_equals(to, PartKind::Names) {
         problems.add(Problem::new(
             "platform",
             "kinds and zones cannot change while the process runs",
-            "restart: real servers are known by their place in these lists",
+            "restart the process: endpoints refer to their kind and zone by index in these lists",
         ));
     }
     let known: HashMap<&str, Effect> = from
@@ -51,13 +55,13 @@
         .map(|(n, c)| (n.as_str(), c.effect))
         .collect();
     for (name, class) in to.core.classes.iter().zip(&to.core.settings.classes) {
-        let other =
+        let changed_effect =
             known.get(name.as_str()).filter(|effect| discriminant(*effect) != discriminant(&class.effect));
-        if other.is_some() {
+        if changed_effect.is_some() {
             problems.add(Problem::new(
                 format!("classes[{name}].effect"),
                 "cannot change while the process runs",
-                "give the class a new name: what was taken on under the old effect is still held",
+                "give the class a new name: messages accepted under the old effect are still held",
             ));
         }
     }
--- a/src/config/probation.rs
+++ b/src/config/probation.rs
@@ -1,34 +1,34 @@
-//! A version on probation goes back by itself when the service under it goes out of stated bounds.
+//! Watches a version on trial: it is rolled back when the service leaves the bounds given with the change.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Offers before their share says anything.
+/// Submissions before the share of rejected ones is meaningful.
 const MIN_SUBMISSIONS: u64 = 20;
-/// Turns over the bound that are no chance.
+/// Loop iterations over the bound that count as a violation; fewer can be chance.
 const SLOW_ITERATION_LIMIT: u64 = 5;
 
-/// How a new version may do.
+/// Bounds that the service must keep to while a version is on trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Bounds {
-    /// Share of offers that may be turned down, 0 to 1.
+    /// Maximum share of submissions that are rejected, 0 to 1.
     pub turn_downs: Option<f64>,
-    /// How long a turn may take, in milliseconds.
+    /// Maximum duration of a loop iteration, in milliseconds.
     pub turn_ms: Option<f64>,
 }
 
-/// ServiceCounts since the process began.
+/// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceCounts {
-    /// Offers taken on.
+    /// Accepted submissions.
     pub accepted: u64,
-    /// Offers turned down.
+    /// Rejected submissions.
     pub rejected: u64,
-    /// Listeners that failed to take a connection.
+    /// Failures of listeners to accept a connection.
     pub listener_failures: u64,
 }
 
-/// A probation under way.
+/// The state of the trial of one version.
 #[derive(Clone, Debug)]
 pub struct Probation {
     bounds: Bounds,
@@ -37,27 +37,30 @@
 }
 
 impl Probation {
-    /// Begins.
+    /// Starts a trial; `now` are the counts at its start.
     pub fn new(bounds: Bounds, now: ServiceCounts) -> Probation {
         Probation { bounds, start: now, slow_iterations: 0 }
     }
 
-    /// Why the version must go back, if it must. Cost: none to speak of; called each turn.
+    /// Returns why the version must be rolled back, if it must. Called in each loop iteration, at negligible
+    /// cost.
     pub fn violation(&mut self, now: ServiceCounts, iteration: Micros) -> Option<String> {
         if now.listener_failures > self.start.listener_failures {
             return Some("a listener failed".to_owned());
         }
-        let slow = self.bounds.turn_ms.filter(|&most| iteration.as_ms() > most);
-        if let Some(most) = slow {
+        let slow = self.bounds.turn_ms.filter(|&limit| iteration.as_ms() > limit);
+        if let Some(limit) = slow {
             self.slow_iterations += 1;
             if self.slow_iterations >= SLOW_ITERATION_LIMIT {
-                return Some(format!("{SLOW_ITERATION_LIMIT} turns took over {most} ms"));
+                return Some(format!("{SLOW_ITERATION_LIMIT} turns took over {limit} ms"));
             }
         }
-        let (down, on) = (now.rejected - self.start.rejected, now.accepted - self.start.accepted);
-        let share = down as f64 / (down + on).max(1) as f64;
-        let most = self.bounds.turn_downs.filter(|&most| down + on >= MIN_SUBMISSIONS && share > most);
-        most.map(|most| format!("{:.0}% of offers turned down, over {:.0}%", share * 100.0, most * 100.0))
+        let (rejected, accepted) = (now.rejected - self.start.rejected, now.accepted - self.start.accepted);
+        let share = rejected as f64 / (rejected + accepted).max(1) as f64;
+        let exceeded =
+            self.bounds.turn_downs.filter(|&limit| rejected + accepted >= MIN_SUBMISSIONS && share > limit);
+        exceeded
+            .map(|limit| format!("{:.0}% of offers turned down, over {:.0}%", share * 100.0, limit * 100.0))
     }
 }
 
--- a/src/config/probation/tests.rs
+++ b/src/config/probation/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_share_counts_from_the_start_and_from_twenty_offers_on() {
+fn rejected_share_counts_from_the_start_of_the_trial_and_needs_twenty_submissions() {
     let bounds = Bounds { turn_downs: Some(0.5), turn_ms: None };
     let mut probation = Probation::new(bounds, counts(0, 1000));
     assert_eq!(probation.violation(counts(0, 1019), Micros(0)), None);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn five_slow_turns_and_one_failed_listener_are_too_many() {
+fn five_slow_iterations_or_one_listener_failure_end_the_trial() {
     let bounds = Bounds { turn_downs: None, turn_ms: Some(5.0) };
     let mut probation = Probation::new(bounds, ServiceCounts::default());
     let verdicts = (0..5).map(|_| probation.violation(ServiceCounts::default(), Micros(6_000)).is_some());
--- a/src/config/problem.rs
+++ b/src/config/problem.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a configuration: where, what, and what would do. A check tells all of it at once.
+//! Problems of a configuration, each with its location and a remedy. A check reports all problems at once.
 
 use serde::Serialize;
 use std::fmt;
 
-/// One problem. Never holds the value of a secret.
+/// A problem found by a check. It never contains the value of a secret.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Where in the configuration, as `amqp.brokers[2].hostPort`; empty for the whole.
+    /// Path in the configuration, for example `amqp.brokers[2].hostPort`; empty for the whole document.
     pub path: String,
-    /// Line in the operators' file, from 1; none where the value is not from there.
+    /// Line in the operators' file, from 1; `None` if the value is not from that file.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub line: Option<u64>,
     /// What is wrong.
     pub what: String,
-    /// What would do.
+    /// How to correct it.
     pub remedy: String,
 }
 
 impl Problem {
-    /// A problem that has no line.
+    /// Creates a problem without a line.
     pub fn new(path: impl Into<String>, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
         Problem { path: path.into(), line: None, what: what.into(), remedy: remedy.into() }
     }
@@ -36,18 +36,19 @@
     }
 }
 
-/// The problems of one check, bounded: a file of nothing but errors is not listed line by line.
+/// The problems of one check. The list is bounded, so a file that consists of errors does not fill it without
+/// limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems {
     listed: Vec<Problem>,
     omitted: usize,
 }
 
-/// Problems listed of one check at most; the rest is counted.
+/// Maximum number of listed problems per check; further ones are only counted.
 pub const MAX_LISTED: usize = 100;
 
 impl Problems {
-    /// One more.
+    /// Adds a problem, or only counts it where the list is full.
     pub fn add(&mut self, problem: Problem) {
         if self.listed.len() < MAX_LISTED {
             self.listed.push(problem);
@@ -56,22 +57,22 @@
         }
     }
 
-    /// None.
+    /// Whether there is no problem.
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty()
     }
 
-    /// All that are listed.
+    /// The listed problems.
     pub fn list(&self) -> &[Problem] {
         &self.listed
     }
 
-    /// How many there are besides.
+    /// Number of problems that are counted but not listed.
     pub fn omitted(&self) -> usize {
         self.omitted
     }
 
-    /// The value where there is no problem.
+    /// Returns the value if there is no problem.
     pub fn into_result<T>(self, value: T) -> Result<T, Problems> {
         if self.is_empty() {
             Ok(value)
@@ -89,8 +90,8 @@
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (place, problem) in self.listed.iter().enumerate() {
-            write!(f, "{}{problem}", if place == 0 { "" } else { "\n" })?;
+        for (index, problem) in self.listed.iter().enumerate() {
+            write!(f, "{}{problem}", if index == 0 { "" } else { "\n" })?;
         }
         if self.omitted > 0 {
             write!(f, "\nand {} more", self.omitted)?;
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -1,19 +1,21 @@
-//! From a tree to typed sections. A section is declared once, by `section!`: its keys with types, bounds and meaning
-//! give the struct, the reader, the names that an unknown key is compared with, and the JSON Schema.
+//! Reads a tree into typed sections. A section is declared once, with `section!`: from its keys with their
+//! types, bounds and descriptions the macro generates the struct, the reader, the names that an unknown key
+//! is compared with, and the JSON Schema.
 
 use super::problem::{Problem, Problems};
 use super::secret::Secret;
 use super::tree::{Node, Raw};
 use std::net::SocketAddr;
 
-/// Items of one list at most.
+/// Maximum number of items in a list.
 pub const MAX_LIST_ITEMS: usize = 10_000;
-/// Longest text.
+/// Maximum length of a text in bytes.
 pub const MAX_TEXT_BYTES: usize = 1024;
-/// An unknown key names a known one only where they are so alike (Jaro-Winkler).
+/// Least Jaro-Winkler similarity at which a known key is suggested for an unknown one.
 const MIN_KEY_SIMILARITY: f64 = 0.75;
 
-/// Where a value stands: kept while descending, written out only for a problem.
+/// The location of a value in the document. It borrows the parent's location; a path is only formatted for a
+/// problem.
 #[derive(Clone, Copy)]
 pub enum Location<'a> {
     /// The whole document.
@@ -25,40 +27,40 @@
 }
 
 impl Location<'_> {
-    /// As text.
+    /// The location as text, for example `amqp.brokers[2].hostPort`.
     pub fn path(&self) -> String {
         match self {
             Location::Root => String::new(),
             Location::Key(Location::Root, key) => (*key).to_owned(),
-            Location::Key(above, key) => format!("{}.{key}", above.path()),
-            Location::Item(above, place) => format!("{}[{place}]", above.path()),
+            Location::Key(parent, key) => format!("{}.{key}", parent.path()),
+            Location::Item(parent, index) => format!("{}[{index}]", parent.path()),
         }
     }
 
-    /// A problem at this place.
+    /// Creates a problem at this location; line 0 stands for an unknown line.
     pub fn problem(&self, line: u64, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
         let line = (line > 0).then_some(line);
         Problem { line, ..Problem::new(self.path(), what, remedy) }
     }
 }
 
-/// A type that a value can be read as. What is wrong is told, and there is no value then.
+/// A type that can be read from a node of the tree.
 pub trait Value: Sized {
-    /// Reads it.
+    /// Reads the value; where that fails, adds to `problems` and returns `None`.
     fn read(node: &Node, at: Location, problems: &mut Problems) -> Option<Self>;
 
-    /// As a number, where it has bounds.
+    /// The value as a number, for types that can have bounds.
     fn as_number(&self) -> Option<f64> {
         None
     }
 }
 
-/// A key of a section: needed, or optional where its type is an `Option`.
+/// A key of a section: optional if its type is an `Option`, otherwise required.
 pub trait Field: Sized {
-    /// Reads it; `None` where there is no usable value.
+    /// Reads the field; `None` where there is no usable value. `line` is that of the section.
     fn read_field(node: Option<&Node>, at: Location, line: u64, problems: &mut Problems) -> Option<Self>;
 
-    /// As a number, where it has bounds and is there.
+    /// The value as a number, where it is present and of a type that can have bounds.
     fn bounded_number(&self) -> Option<f64>;
 }
 
@@ -204,15 +206,16 @@
             problems.add(at.problem(node.line, "too many items", format!("keep it within {MAX_LIST_ITEMS}")));
             return None;
         }
-        // All of them are read, so that the problems of each are told.
+        // All items are read before a failure is returned, so that the problems of each are reported.
         let read =
-            list.iter().enumerate().map(|(place, one)| T::read(one, Location::Item(&at, place), problems));
+            list.iter().enumerate().map(|(index, item)| T::read(item, Location::Item(&at, index), problems));
         let read: Vec<Option<T>> = read.collect();
         read.into_iter().collect()
     }
 }
 
-/// The pairs of a section. Told here: what is no section, a key that stands twice, a key that nothing is known of.
+/// The known keys of a section with their values. Reports a node that is not a section, duplicate keys and
+/// unknown keys.
 pub fn section_keys<'a>(
     node: &'a Node,
     at: Location,
@@ -229,14 +232,15 @@
         } else if known.contains(&key.as_str()) {
             found.push((key, value));
         } else {
-            let near = known.iter().map(|name| (strsim::jaro_winkler(key, name), *name));
-            let near =
-                near.filter(|(alike, _)| *alike >= MIN_KEY_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0));
-            let remedy = match near {
+            let nearest = known.iter().map(|name| (strsim::jaro_winkler(key, name), *name));
+            let nearest = nearest
+                .filter(|(similarity, _)| *similarity >= MIN_KEY_SIMILARITY)
+                .max_by(|a, b| a.0.total_cmp(&b.0));
+            let remedy = match nearest {
                 Some((_, name)) => format!("did you mean {name}?"),
-                None => format!("known here: {}", known.join(", ")),
+                None => format!("known keys: {}", known.join(", ")),
             };
-            // A key can be a secret in the wrong place, but only a short plain one is repeated.
+            // A key can be a misplaced secret: only 40 printable characters of it are shown.
             let shown: String = key.chars().filter(|c| c.is_ascii_graphic()).take(40).collect();
             problems.add(Location::Key(&at, &shown).problem(*line, "unknown key", remedy));
         }
@@ -244,7 +248,7 @@
     Some(found)
 }
 
-/// Tells a number that is out of its bounds.
+/// Whether a number is within its bounds, if there is one; reports it otherwise.
 pub fn check_bounds(
     number: Option<f64>,
     (low, high): (f64, f64),
@@ -252,14 +256,14 @@
     line: u64,
     problems: &mut Problems,
 ) -> bool {
-    let good = number.is_none_or(|number| (low..=high).contains(&number));
-    if !good {
+    let is_within = number.is_none_or(|number| (low..=high).contains(&number));
+    if !is_within {
         problems.add(at.problem(line, "out of bounds", format!("stay within {low} to {high}")));
     }
-    good
+    is_within
 }
 
-/// Declares a section: see the module's text.
+/// Declares a section, see the module documentation.
 macro_rules! section {
     ($(#[$doc:meta])* $name:ident {
         $($(#[$meaning:meta])* $key:ident : $type:ty $(= $low:literal ..= $high:literal)?;)*
@@ -293,8 +297,8 @@
                         let line = value.map_or(node.line, |node| node.line);
                         let number = $key.as_ref().and_then(Field::bounded_number);
                         let bounds = (f64::from($low), f64::from($high));
-                        let good = crate::config::read::check_bounds(number, bounds, here, line, problems);
-                        let $key = $key.filter(|_| good);
+                        let is_within = crate::config::read::check_bounds(number, bounds, here, line, problems);
+                        let $key = $key.filter(|_| is_within);
                     )?
                 )*
                 Some($name { $($key: $key?),* })
@@ -303,8 +307,8 @@
     };
 }
 
-/// Whether a value is left out of what is printed.
+/// Whether a value is omitted from the output.
 pub fn is_null<T: serde::Serialize>(value: &T) -> bool {
-    // Only an absent option is printed as null.
+    // Only an absent option is serialized as null.
     serde_json::to_value(value).is_ok_and(|value| value.is_null())
 }
--- a/src/config/secret.rs
+++ b/src/config/secret.rs
@@ -1,4 +1,5 @@
-//! Secrets: given in the file or named by a file of their own. Whatever prints one prints a mark in its place.
+//! Secrets, written in the operators' file or in a separate file. `Debug` and serialization print a
+//! placeholder.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{Serialize, Serializer};
@@ -6,12 +7,12 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// What stands in the place of a secret, wherever one would be printed.
+/// Placeholder that is printed instead of a secret.
 pub const REDACTED: &str = "(secret)";
-/// Bytes of a secret's file at most.
+/// Maximum size of a secret's file in bytes.
 pub const MAX_SECRET_BYTES: usize = 4096;
 
-/// A secret as it is written.
+/// A secret as configured: its text, or the path of its file.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Source);
 
@@ -21,13 +22,13 @@
     InFile(String),
 }
 
-/// Reads the files that secrets are in; a test's keeps them in memory.
+/// Reads the files of secrets; tests have an implementation in memory.
 pub trait SecretFiles {
-    /// The text of a file, or why there is none.
+    /// Returns the text of a file, or a message why it cannot be read.
     fn read(&self, path: &str) -> Result<String, String>;
 }
 
-/// The files of this machine.
+/// Reads secrets from the local file system.
 pub struct DiskFiles;
 
 impl SecretFiles for DiskFiles {
@@ -45,17 +46,18 @@
 }
 
 impl Secret {
-    /// One that stands in the file itself.
+    /// A secret written in the operators' file itself.
     pub fn inline(text: String) -> Secret {
         Secret(Source::Inline(text))
     }
 
-    /// One in a file of its own.
+    /// A secret in a separate file.
     pub fn in_file(path: String) -> Secret {
         Secret(Source::InFile(path))
     }
 
-    /// The secret itself. A line's end at the end of its file is not part of it.
+    /// Returns the secret, reading its file if it has one. A line ending at the end of that file is not part
+    /// of it.
     pub fn resolve(&self, files: &dyn SecretFiles) -> Result<SecretText, String> {
         let text = match &self.0 {
             Source::Inline(text) => text.clone(),
@@ -94,7 +96,7 @@
 
     fn json_schema(_: &mut SchemaGenerator) -> Schema {
         json_schema!({
-            "description": "A secret: its text, or the name of the file that holds it. Printed nowhere.",
+            "description": "A secret: its text, or the name of the file that contains it. It is never printed.",
             "anyOf": [
                 {"type": "string", "minLength": 1},
                 {"type": "object", "properties": {"file": {"type": "string"}}, "required": ["file"],
@@ -104,26 +106,26 @@
     }
 }
 
-/// A secret that is in use.
+/// The text of a secret. `Debug` prints a placeholder.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SecretText(String);
 
 impl SecretText {
-    /// One made in a test or by the platform.
+    /// Wraps a text, for tests and for secrets from the platform.
     pub fn new(text: impl Into<String>) -> SecretText {
         SecretText(text.into())
     }
 
-    /// The secret itself, for the one place that needs it.
+    /// The secret in clear, for the caller that has to send or check it.
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Whether a candidate text is it, in a time that does not depend on where they differ.
+    /// Compares a candidate with the secret, in a time that does not depend on where they differ.
     pub fn matches(&self, candidate: &[u8]) -> bool {
         let digest = |bytes: &[u8]| Sha256::digest(bytes);
-        let (one, other) = (digest(candidate), digest(self.0.as_bytes()));
-        one.iter().zip(other.iter()).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0
+        let (given, expected) = (digest(candidate), digest(self.0.as_bytes()));
+        given.iter().zip(expected.iter()).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0
     }
 }
 
@@ -133,15 +135,15 @@
     }
 }
 
-/// A digest that tells one from another within an installation, and nothing else: `salt` is known to it alone.
 impl SecretText {
-    /// As hexadecimal text.
+    /// A digest as hexadecimal text, by which secrets are compared within one installation. It is useless
+    /// elsewhere, since only that installation knows `salt`.
     pub fn digest(&self, salt: &[u8]) -> String {
         hex(&Sha256::new().chain_update(salt).chain_update(self.0.as_bytes()).finalize())
     }
 }
 
-/// Bytes as hexadecimal text.
+/// Formats bytes as hexadecimal text.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,7 +1,8 @@
-//! The versions' file in the folder that lasts. A change is one line at its end, written at once; a torn line is no
-//! version. Where the file grows beyond its bound, a new one is written whole beside it and renamed over it, so that at any
-//! moment there is one whole file. As the journal, it is not synced: it outlives the process, not the machine. Appending
-//! matters: to rename over a file makes some file systems write it out, which takes longer than all else of a change.
+//! The file of configuration versions in the state folder. A change appends one line in a single write; a
+//! torn line is not a version. Where the file would exceed its size limit, a complete new file is written
+//! beside it and renamed over it, so a complete file exists at any time. Like the journal, it is not synced:
+//! it survives a crash of the process, but not of the machine. Appending is preferred because renaming over a
+//! file makes some file systems flush it, which takes longer than all the rest of a change.
 
 use super::problem::Problem;
 use super::secret::hex;
@@ -14,26 +15,27 @@
 const FILE_NAME: &str = "config.versions";
 const NEW_FILE_NAME: &str = "config.versions.new";
 
-/// Share of the folder's bytes that versions take: two files at the moment of a change, beside the journal's two.
+/// The part of the state folder's size that is available to versions. During a change there are two such
+/// files, beside two of the journal.
 pub fn max_versions_bytes(disk: u64) -> usize {
     (disk / 25) as usize
 }
 
-/// See the module's text.
+/// The open file of versions, see the module documentation.
 pub struct Store {
     folder: PathBuf,
-    /// What the file says, where it is good to its end.
+    /// The contents of the file, if it is valid to its end.
     written: Option<Versions>,
     size: u64,
 }
 
 impl Store {
-    /// Reads what is kept; nothing is an empty history with a new salt.
+    /// Reads the stored versions; without a file, the history is empty and has a new salt.
     pub fn open(folder: &Path, disk: u64) -> (Store, Versions) {
         let _ = fs::remove_file(folder.join(NEW_FILE_NAME));
         let bytes = fs::read(folder.join(FILE_NAME)).unwrap_or_default();
         let decoded = Versions::decode(&bytes, max_versions_bytes(disk));
-        // What follows a torn line would never be read: such a file is written anew with the next change.
+        // Lines appended after a torn line would never be read: the next change rewrites such a file.
         let written = decoded
             .as_ref()
             .filter(|(_, valid_bytes)| *valid_bytes == bytes.len())
@@ -48,12 +50,13 @@
         )
     }
 
-    /// Whether a file is there.
+    /// Whether the file exists.
     pub fn exists(folder: &Path) -> bool {
         folder.join(FILE_NAME).exists()
     }
 
-    /// Puts these in the place of those before, or nothing of them. The file holds secrets: it is the user's alone.
+    /// Replaces the stored versions, or leaves them unchanged on an error. The file can contain secrets, so
+    /// only its owner may read it.
     pub fn write(&mut self, versions: &Versions, before_commit: impl FnOnce()) -> Result<(), Problem> {
         let lines = self.written.as_ref().map(|written| versions.lines_since(written));
         let fits = |lines: &Vec<u8>| self.size + lines.len() as u64 <= versions.bound() as u64;
@@ -66,7 +69,7 @@
             Problem::new(
                 "",
                 format!("the version cannot be written: {problem}"),
-                "free the folder that lasts",
+                "free space in the state folder",
             )
         })
     }
@@ -75,7 +78,7 @@
         let file = OpenOptions::new().write(true).open(self.folder.join(FILE_NAME))?;
         before_commit();
         if let Err(problem) = file.write_all_at(lines, self.size) {
-            // Some of it may be there: a start must not find it.
+            // Part of the line may have been written: a start must not read it.
             let _ = file.set_len(self.size);
             return Err(problem);
         }
@@ -85,13 +88,13 @@
 
     fn replace(&mut self, bytes: &[u8], before_commit: impl FnOnce()) -> io::Result<()> {
         let next = self.folder.join(NEW_FILE_NAME);
-        let result = || {
+        let write_and_rename = || {
             let file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&next)?;
             file.write_all_at(bytes, 0)?;
             before_commit();
             fs::rename(&next, self.folder.join(FILE_NAME))
         };
-        let result = result();
+        let result = write_and_rename();
         match &result {
             Ok(()) => self.size = bytes.len() as u64,
             Err(_) => drop(fs::remove_file(&next)),
@@ -102,7 +105,7 @@
 
 fn random_salt() -> String {
     let mut bytes = [0; 16];
-    // Without it, digests of secrets could be guessed at by who sees them; nothing else depends on it.
+    // Without a salt, a reader of the digests could guess the secrets; nothing else depends on it.
     let _ = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
     hex(&bytes)
 }
--- a/src/config/transaction.rs
+++ b/src/config/transaction.rs
@@ -1,11 +1,11 @@
-//! A change is put in force whole or not at all. Every step that can fail is prepared first; then the version is
-//! written; then all steps are committed, which cannot fail. Before that point everything prepared is let go in
-//! reverse order, and nothing of the change was ever in force.
+//! Applies a change atomically. First every step is prepared, which can fail; then the version is written;
+//! then all steps are committed, which cannot fail. If a step fails before the commits, the prepared steps
+//! are released in reverse order, and no part of the change has been in force.
 
 use super::plan::Step;
 use super::problem::Problem;
 
-/// A place between two of the transaction's deeds; a test ends the process there.
+/// A point between two actions of the transaction, at which a test can abort the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
     /// Before a step is prepared.
@@ -14,39 +14,39 @@
     Record,
     /// Before a step is committed.
     Commit(usize),
-    /// Before a prepared step is let go.
+    /// Before a prepared step is released.
     Release(usize),
-    /// After all of it.
+    /// After the last commit.
     Done,
 }
 
-/// What a change is put in force on.
+/// The system that a change is applied to.
 pub trait ChangeTarget {
-    /// What a prepared step holds: a bound listener, an opened file. Dropping it lets go of it.
+    /// Resources of a prepared step, such as a bound listener or an open file. They are freed when dropped.
     type Prepared;
 
-    /// Does all of a step that can fail, and changes nothing that anybody sees.
+    /// Does everything in a step that can fail, without a visible effect.
     fn prepare(&mut self, step: &Step) -> Result<Self::Prepared, Problem>;
 
-    /// Lets go of a prepared step.
+    /// Frees the resources of a prepared step that is not committed.
     fn release(&mut self, step: &Step, held: Self::Prepared);
 
-    /// Writes the version: from here on, a start runs it.
+    /// Writes the version; after that, a start runs the new version.
     fn record(&mut self) -> Result<(), Problem>;
 
-    /// Puts a prepared step in force.
+    /// Puts a prepared step into effect. It cannot fail.
     fn commit(&mut self, step: &Step, held: Self::Prepared);
 
-    /// Passes a point.
+    /// Called at each point; does nothing by default.
     fn reach(&mut self, _: Point) {}
 }
 
-/// Puts steps in force on a target, or none of them.
-pub fn run<G: ChangeTarget>(target: &mut G, steps: &[Step]) -> Result<(), Problem> {
-    let mut prepared: Vec<G::Prepared> = Vec::with_capacity(steps.len());
+/// Applies all steps to a target, or none of them.
+pub fn run<T: ChangeTarget>(target: &mut T, steps: &[Step]) -> Result<(), Problem> {
+    let mut prepared: Vec<T::Prepared> = Vec::with_capacity(steps.len());
     let mut failure = None;
-    for (place, step) in steps.iter().enumerate() {
-        target.reach(Point::Prepare(place));
+    for (index, step) in steps.iter().enumerate() {
+        target.reach(Point::Prepare(index));
         match target.prepare(step) {
             Ok(held) => prepared.push(held),
             Err(problem) => {
@@ -61,14 +61,14 @@
     }
     if let Some(problem) = failure {
         while let Some(held) = prepared.pop() {
-            let place = prepared.len();
-            target.reach(Point::Release(place));
-            target.release(&steps[place], held);
+            let index = prepared.len();
+            target.reach(Point::Release(index));
+            target.release(&steps[index], held);
         }
         return Err(problem);
     }
-    for (place, (step, held)) in steps.iter().zip(prepared).enumerate() {
-        target.reach(Point::Commit(place));
+    for (index, (step, held)) in steps.iter().zip(prepared).enumerate() {
+        target.reach(Point::Commit(index));
         target.commit(step, held);
     }
     target.reach(Point::Done);
@@ -76,13 +76,13 @@
 }
 
 impl Point {
-    /// Its name, as a test gives it: `prepare-0`, `record`, `commit-2`, ...
+    /// The name by which a test refers to the point: `prepare-0`, `record`, `commit-2`, ...
     pub fn name(self) -> String {
         match self {
-            Point::Prepare(place) => format!("prepare-{place}"),
+            Point::Prepare(index) => format!("prepare-{index}"),
             Point::Record => "record".to_owned(),
-            Point::Commit(place) => format!("commit-{place}"),
-            Point::Release(place) => format!("release-{place}"),
+            Point::Commit(index) => format!("commit-{index}"),
+            Point::Release(index) => format!("release-{index}"),
             Point::Done => "done".to_owned(),
         }
     }
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -1,48 +1,50 @@
-//! An operators' file as a tree of values, each with its line. YAML, of which JSON is a part, read by serde-saphyr
-//! within fixed bounds: the time and memory of a read follow the size of the file, whatever stands in it.
+//! Parses the operators' file into a tree of values, each with its line. The format is YAML, of which JSON is
+//! a subset. serde-saphyr reads it with a fixed budget: time and memory are bounded by the size of the file,
+//! whatever its contents.
 
 use super::problem::{Problem, Problems};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 use std::fmt;
 
-/// Bytes of a document at most.
+/// Maximum size of a document in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
-/// Nesting at most: the model needs five.
+/// Maximum nesting depth; the model needs five levels.
 const MAX_DEPTH: usize = 32;
-/// Values at most, those that aliases repeat included.
+/// Maximum number of values, including those repeated by aliases.
 const MAX_VALUES: usize = 100_000;
 
-/// A value and the line that it starts on.
+/// A value and the line on which it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// From 1; 0 where it is not known.
+    /// Line number from 1; 0 where it is unknown.
     pub line: u64,
-    /// The value.
+    /// The value as parsed.
     pub value: Raw,
 }
 
-/// A value as it is written.
+/// A value before its type is checked.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Raw {
-    /// Nothing.
+    /// Null or absent.
     Null,
-    /// True or false.
+    /// A Boolean.
     Bool(bool),
-    /// A whole number.
+    /// An integer.
     Integer(i128),
     /// Any other number.
     Number(f64),
-    /// Text.
+    /// A string.
     Text(String),
     /// A list.
     List(Vec<Node>),
-    /// Keys, with the line of each, and values.
+    /// Entries: key, line of the key, value.
     Map(Vec<(String, u64, Node)>),
 }
 
 impl Raw {
-    /// What it is, for an error: never the value itself, which may be a secret in the wrong place.
+    /// The type of the value, for an error message. The value itself may be a misplaced secret and is never
+    /// shown.
     pub fn kind(&self) -> &'static str {
         match self {
             Raw::Null => "nothing",
@@ -55,16 +57,16 @@
     }
 }
 
-/// Reads a document. An empty one is an empty section.
+/// Parses a document. An empty document is an empty section.
 pub fn read(bytes: &[u8]) -> Result<Node, Problems> {
     if bytes.len() > MAX_DOCUMENT_BYTES {
         let what = format!("{} bytes are too many", bytes.len());
         return Err(Problem::new("", what, format!("keep the file within {MAX_DOCUMENT_BYTES} bytes")).into());
     }
-    let text = std::str::from_utf8(bytes).map_err(|problem| {
-        let line = 1 + bytes[..problem.valid_up_to()].iter().filter(|&&byte| byte == b'\n').count() as u64;
-        let told = Problem::new("", "not UTF-8", "write the file as UTF-8");
-        Problem { line: Some(line), ..told }
+    let text = std::str::from_utf8(bytes).map_err(|error| {
+        let line = 1 + bytes[..error.valid_up_to()].iter().filter(|&&byte| byte == b'\n').count() as u64;
+        let problem = Problem::new("", "not UTF-8", "write the file as UTF-8");
+        Problem { line: Some(line), ..problem }
     })?;
     let mut budget = serde_saphyr::Budget::default();
     budget.max_depth = MAX_DEPTH;
@@ -75,25 +77,25 @@
     budget.max_documents = 1;
     let mut options = serde_saphyr::Options::default();
     options.budget = Some(budget);
-    // Told by the reader of sections, with both lines.
+    // Duplicate keys are reported by the reader of sections, with both lines.
     options.duplicate_keys = serde_saphyr::DuplicateKeyPolicy::PassThrough;
     options.alias_limits.max_total_replayed_events = MAX_VALUES;
-    // An error shows the text around its place, and secrets stand in this file.
+    // A snippet shows the text around the error, and the file can contain secrets.
     options.with_snippet = false;
     match serde_saphyr::from_str_with_options::<Node>(text, options) {
         Ok(Node { value: Raw::Null, line }) => Ok(Node { line, value: Raw::Map(Vec::new()) }),
         Ok(node) => Ok(node),
-        Err(problem) => {
-            let line = problem.location().map(|at| at.line()).filter(|&line| line > 0);
-            let told = Problem::new("", error_text(&problem), "write YAML 1.2, or JSON");
-            Err(Problem { line, ..told }.into())
+        Err(error) => {
+            let line = error.location().map(|at| at.line()).filter(|&line| line > 0);
+            let problem = Problem::new("", error_text(&error), "write YAML 1.2, or JSON");
+            Err(Problem { line, ..problem }.into())
         }
     }
 }
 
-/// The reader's own words, without what it quotes of the file.
-fn error_text(problem: &serde_saphyr::Error) -> String {
-    let text = problem.to_string();
+/// The parser's message, without its quotations from the file.
+fn error_text(error: &serde_saphyr::Error) -> String {
+    let text = error.to_string();
     let first = text.lines().next().unwrap_or_default();
     let plain = first.split(['`', '"', '\'']).next().unwrap_or_default().trim_end_matches([' ', ':']);
     format!("cannot be read: {}", if plain.is_empty() { "malformed" } else { plain })
--- a/src/config/tree/tests.rs
+++ b/src/config/tree/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
-fn told(text: &str) -> Problem {
+fn first_problem(text: &str) -> Problem {
     read(text.as_bytes()).unwrap_err().list()[0].clone()
 }
 
 #[test]
-fn values_know_their_lines() {
+fn nodes_carry_the_line_of_each_value() {
     let node = read(b"a: 1\nb:\n  - x\n  - y: true\n").unwrap();
     let Raw::Map(map) = node.value else { panic!() };
     assert_eq!((map[0].0.as_str(), map[0].1, &map[0].2.value), ("a", 1, &Raw::Integer(1)));
@@ -17,17 +17,17 @@
 }
 
 #[test]
-fn json_is_read_as_it_is_and_nothing_is_an_empty_section() {
+fn json_is_accepted_and_an_empty_file_is_an_empty_section() {
     assert!(matches!(read(b"{\"a\":[1.5,null]}").unwrap().value, Raw::Map(_)));
     assert_eq!(read(b"").unwrap().value, Raw::Map(Vec::new()));
 }
 
 #[test]
-fn bombs_are_refused() {
-    assert!(told(&" ".repeat(MAX_DOCUMENT_BYTES + 1)).what.contains("too many"));
-    told(&format!("a: {}", "[".repeat(10_000)));
-    told(&format!("a: {}{}", "[".repeat(10_000), "]".repeat(10_000)));
-    told(
+fn oversized_deeply_nested_and_alias_bomb_documents_are_rejected() {
+    assert!(first_problem(&" ".repeat(MAX_DOCUMENT_BYTES + 1)).what.contains("too many"));
+    first_problem(&format!("a: {}", "[".repeat(10_000)));
+    first_problem(&format!("a: {}{}", "[".repeat(10_000), "]".repeat(10_000)));
+    first_problem(
         &(0..10_000).map(|depth| format!("{}a:\n", " ".repeat(depth))).collect::<String>()
             [..MAX_DOCUMENT_BYTES],
     );
@@ -36,32 +36,32 @@
         let refers = vec![format!("*a{}", level - 1); 10].join(",");
         bomb.push_str(&format!("a{level}: &a{level} [{refers}]\n"));
     }
-    told(&bomb);
+    first_problem(&bomb);
     let aliases = "*x,".repeat(200_000);
-    told(&format!("x: &x 1\ny: [{aliases}]\n"));
+    first_problem(&format!("x: &x 1\ny: [{aliases}]\n"));
 }
 
 #[test]
-fn errors_quote_nothing_of_the_file() {
+fn error_messages_contain_no_text_of_the_file() {
     for text in ["password: \"hunter2\n", "password: [hunter2\n", "a: hunter2: b\n", "hunter2\n\tb: *hunter2"]
     {
-        let told = told_any(text);
-        assert!(!told.contains("hunter2"), "{told}");
+        let message = problems_text(text);
+        assert!(!message.contains("hunter2"), "{message}");
     }
 }
 
-fn told_any(text: &str) -> String {
+fn problems_text(text: &str) -> String {
     read(text.as_bytes()).map_or_else(|problems| problems.to_string(), |_| String::new())
 }
 
 proptest! {
     #[test]
-    fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = read(&bytes);
     }
 
     #[test]
-    fn no_text_of_its_own_signs_makes_it_panic(text in "[\\[\\]{}:,&*a-c \n\\-|>'\"#!?%@0-9.]{0,300}") {
+    fn arbitrary_text_of_yaml_syntax_characters_causes_no_panic(text in "[\\[\\]{}:,&*a-c \n\\-|>'\"#!?%@0-9.]{0,300}") {
         let _ = read(text.as_bytes());
     }
 }
--- a/src/config/versions.rs
+++ b/src/config/versions.rs
@@ -1,55 +1,56 @@
-//! Versions of the configuration: each that was in force has a number, a digest, who, when and why. The last ones are
-//! kept, bounded in number and bytes. No I/O: `store` writes the bytes that this makes.
+//! The history of configuration versions. Each version records its number, its digest, and who applied it,
+//! when and why. The most recent versions are kept, limited in number and size. There is no I/O here: `store`
+//! writes the encoded bytes.
 
 use super::problem::Problem;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Versions kept at most.
+/// Maximum number of versions kept.
 pub const MAX_VERSIONS: usize = 16;
 const MAGIC: &str = "cedarwharf versions 1";
 
-/// The time within which a version must be confirmed.
+/// The period within which a version must be confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
-    /// Until then, in Unix time in milliseconds.
+    /// End of the window, in Unix time in milliseconds.
     pub until_ms: u64,
-    /// The version that comes back.
+    /// The version that is restored if this one is not confirmed.
     pub back_to: u64,
 }
 
 /// A configuration that is or was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// From 1, never given twice.
+    /// Version number, from 1; never reused.
     pub number: u64,
-    /// Of what was in force, see [`digest`](super::model::digest).
+    /// Digest of the effective configuration, see [`digest`](super::model::digest).
     pub digest: String,
-    /// The version that it was made from; 0 for the first.
+    /// The version that this one was made from; 0 for the first.
     pub from: u64,
-    /// Since when, in Unix time in milliseconds.
+    /// When it was applied, in Unix time in milliseconds.
     pub at_ms: u64,
-    /// By whom.
+    /// Who applied it.
     pub who: String,
-    /// What for.
+    /// Reason of the change.
     pub why: String,
-    /// The operators' file.
+    /// Text of the operators' file.
     pub document: String,
-    /// It goes back by itself unless it is confirmed.
+    /// Set while the version is on trial: it is rolled back automatically unless it is confirmed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window: Option<Window>,
 }
 
-/// A candidate that is kept for a later `apply`.
+/// A candidate stored for a later `apply`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Staged {
-    /// The version that it was made from.
+    /// The version that the candidate was made from.
     pub from: u64,
-    /// Since when, in Unix time in milliseconds.
+    /// When it was staged, in Unix time in milliseconds.
     pub at_ms: u64,
-    /// By whom.
+    /// Who staged it.
     pub who: String,
-    /// The operators' file.
+    /// Text of the operators' file.
     pub document: String,
 }
 
@@ -61,7 +62,7 @@
     Confirmed(u64),
 }
 
-/// See the module's text.
+/// The history of versions, with the candidate if one is staged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versions {
     versions: VecDeque<Version>,
@@ -71,17 +72,17 @@
 }
 
 impl Versions {
-    /// None yet. `salt` is random; the bytes of all together stay within `bound`.
+    /// Creates an empty history. `salt` is random; the encoded size stays within `bound` bytes.
     pub fn new(salt: String, bound: usize) -> Versions {
         Versions { versions: VecDeque::new(), staged: None, salt, bound }
     }
 
-    /// What keeps digests of secrets from being guessed at.
+    /// The salt of the secrets' digests, without which the secrets could be guessed from them.
     pub fn salt(&self) -> &[u8] {
         self.salt.as_bytes()
     }
 
-    /// Bytes that all together may take.
+    /// Maximum encoded size in bytes.
     pub fn bound(&self) -> usize {
         self.bound
     }
@@ -96,23 +97,23 @@
         self.current().map_or(0, |version| version.number)
     }
 
-    /// A version that is kept.
+    /// Returns a version if it is kept.
     pub fn get(&self, number: u64) -> Option<&Version> {
         self.versions.iter().find(|version| version.number == number)
     }
 
-    /// Those kept, oldest first.
+    /// The kept versions, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Version> {
         self.versions.iter()
     }
 
-    /// The candidate, if one is staged.
+    /// The staged candidate, if there is one.
     pub fn staged(&self) -> Option<&Staged> {
         self.staged.as_ref()
     }
 
-    /// These, with one more in force. What was staged is used up. The oldest go where there are too many; the one
-    /// that a window leads back to stays.
+    /// Returns a history with a new version in force and no candidate. The oldest versions are removed where
+    /// a limit is exceeded, but not the version that an open window would restore.
     pub fn with_version(&self, version: Version) -> Result<Versions, Problem> {
         let mut next = self.clone();
         next.staged = None;
@@ -120,21 +121,21 @@
         next.trimmed()
     }
 
-    /// These, with another candidate, or none.
+    /// Returns a history with another candidate, or none.
     pub fn with_staged(&self, staged: Option<Staged>) -> Result<Versions, Problem> {
         let mut next = self.clone();
         next.staged = staged;
         next.trimmed()
     }
 
-    /// These, with the one in force confirmed.
+    /// Returns a history in which the version in force is confirmed.
     pub fn confirmed(&self) -> Versions {
         let mut next = self.clone();
         next.versions.back_mut().into_iter().for_each(|version| version.window = None);
         next
     }
 
-    /// The same within another bound.
+    /// Returns the history trimmed to another maximum size.
     pub fn with_bound(&self, bound: usize) -> Result<Versions, Problem> {
         Versions { bound, ..self.clone() }.trimmed()
     }
@@ -142,8 +143,8 @@
     fn trimmed(mut self) -> Result<Versions, Problem> {
         let back_to = self.current().and_then(|version| version.window.as_ref()).map(|window| window.back_to);
         loop {
-            let over = self.versions.len() > MAX_VERSIONS || self.encode().len() > self.bound;
-            if !over {
+            let exceeds = self.versions.len() > MAX_VERSIONS || self.encode().len() > self.bound;
+            if !exceeds {
                 return Ok(self);
             }
             let last = self.versions.len().saturating_sub(1);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// As bytes: a line each, with its sum in front.
+    /// Encodes the history: one line per entry, each with its checksum in front.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = format!("{MAGIC}\n").into_bytes();
         let lines = [Line::Salt(self.salt.clone())].into_iter();
@@ -167,8 +168,8 @@
         out
     }
 
-    /// The lines that lead from those to these, for the end of the file. Who goes for want of room is found again when
-    /// the file is read.
+    /// Encodes the difference from an earlier history as lines to append to the file. Versions removed
+    /// because of a limit need no line: decoding removes them again.
     pub fn lines_since(&self, before: &Versions) -> Vec<u8> {
         let mut out = Vec::new();
         for version in self.versions.iter().filter(|version| version.number > before.number()) {
@@ -187,7 +188,8 @@
         out
     }
 
-    /// From bytes, up to the first damage, and how many of them are good; `None` where not even the salt is there.
+    /// Decodes bytes up to the first damaged line. Returns the history and the number of valid bytes, or
+    /// `None` if not even the salt is intact.
     pub fn decode(bytes: &[u8], bound: usize) -> Option<(Versions, usize)> {
         let mut rest = bytes.strip_prefix(MAGIC.as_bytes())?.strip_prefix(b"\n")?;
         let mut versions: Option<Versions> = None;
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn two_hundred_changes_under_load_leave_no_partial_state_and_no_message_without_its_end() {
+fn two_hundred_changes_under_load_leave_no_partial_state_and_every_message_gets_an_outcome() {
     let seed = std::env::var("CEDARWHARF_SEED").map_or(7, |seed| seed.parse().unwrap());
     println!("seed {seed}");
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -239,7 +239,7 @@
 const LARGE: &str = "limits: {slots: 4, disk_mb: 2}\nlisten: HOME\namqp: {listen: AMQP}\nlog: {form: json}\n";
 
 #[test]
-fn killed_at_any_step_the_next_start_runs_one_whole_version() {
+fn process_killed_at_any_step_of_a_change_restarts_with_one_whole_version() {
     let steps = 5; // listen, amqp.listen, disk, core, log
     let mut points = vec!["planned".to_owned(), "record".into(), "rename".into(), "done".into()];
     points.extend((0..steps).flat_map(|place| [format!("prepare-{place}"), format!("commit-{place}")]));
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn killed_while_staging_undoing_or_letting_go_the_old_version_stays_whole() {
+fn process_killed_while_staging_undoing_or_releasing_restarts_with_the_old_version() {
     let (mut stage, _) = staged("kill-others", "");
     let busy = TcpListener::bind("127.0.0.1:0").unwrap();
     stage.start();
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_torn_versions_file_gives_way_to_the_last_whole_version() {
+fn torn_versions_file_restarts_with_the_last_whole_version() {
     let (mut stage, _) = started("torn", "");
     for slots in [3, 4, 5] {
         applied(&stage, "", &format!("limits: {{slots: {slots}}}\n"));
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn killed_within_a_window_the_next_start_goes_back() {
+fn process_killed_within_an_open_window_rolls_back_at_the_next_start() {
     let (mut stage, _) = started("window", "");
     applied(&stage, "confirm_within_s=60", "limits: {slots: 3}\n");
     assert!(show(&stage)["trial_left_ms"].as_u64().unwrap() > 50_000);
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn unconfirmed_it_goes_back_by_itself_and_bad_service_sends_it_back_at_once() {
+fn unconfirmed_version_is_rolled_back_at_the_deadline_and_bad_service_rolls_it_back_at_once() {
     let (stage, ledger) = started("trial", "");
     applied(&stage, "confirm_within_s=0.3", "limits: {slots: 3}\n");
     until("it goes back", || number(&stage) == 3);
@@ -381,7 +381,7 @@
 // ---- Several at once ----
 
 #[test]
-fn of_two_operators_at_once_one_wins_and_the_other_hears_both_versions() {
+fn of_two_concurrent_changes_one_is_applied_and_the_other_rejected_with_both_versions() {
     let (stage, _) = started("two-operators", "");
     let from = number(&stage);
     let told: Vec<(u16, Value)> = thread::scope(|scope| {
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn a_hundred_changes_queued_are_each_answered_and_one_is_put_in_force() {
+fn hundred_queued_changes_are_all_answered_and_one_is_applied() {
     let (stage, _) = started("hundred", "");
     let file = stage.filled(&format!("{HEAD}limits: {{slots: 5}}\n"));
     let request = format!(
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn a_stopping_process_takes_no_change_on() {
+fn stopping_process_accepts_no_change() {
     let (stage, _) = started("stopping", "");
     stage.signal("-TERM");
     until("it is stopping", || stage.lines().contains("told to stop"));
@@ -442,7 +442,7 @@
 // ---- Files ----
 
 #[test]
-fn sighup_is_the_same_transaction_and_a_bad_file_changes_nothing() {
+fn sighup_applies_the_file_as_one_transaction_and_an_invalid_file_changes_nothing() {
     let (stage, _) = started("sighup", "");
     let reload = |text: &str, line: &str| {
         let seen = stage.lines().matches(line).count();
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn a_file_that_is_still_being_written_counts_once_it_rests() {
+fn file_still_being_written_is_applied_once_it_stops_changing() {
     let (stage, _) = started("writing", "");
     let text = stage.filled(&format!("{HEAD}limits:\n  slots: 3\n  held_messages: 33\n  max_attempts: 3\n"));
     let place = stage.folder.join("fronts.json");
@@ -491,7 +491,7 @@
 // ---- What changes ----
 
 #[test]
-fn a_listener_that_moves_lets_clients_finish_the_request_they_are_in() {
+fn moved_listener_lets_clients_finish_their_current_request() {
     let (stage, _) = started("moves", "");
     let mut busy = TcpStream::connect(stage.listen).unwrap();
     let mut idle = TcpStream::connect(stage.listen).unwrap();
@@ -516,7 +516,7 @@
 }
 
 #[test]
-fn a_change_that_fails_at_its_third_listener_is_not_seen() {
+fn change_that_fails_at_its_third_listener_has_no_effect() {
     let (stage, _) = started("third", "");
     let busy = TcpListener::bind("127.0.0.1:0").unwrap();
     let (home, amqp) = (free(), free());
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn tokens_and_fronts_change_and_who_lost_the_token_is_out() {
+fn tokens_and_fronts_change_and_a_removed_token_loses_access() {
     let (stage, _) = started("tokens", "");
     let mut kept = TcpStream::connect(stage.admin).unwrap();
     let one = "GET /v1/counts HTTP/1.1\r\nAuthorization: Bearer second\r\n\r\n";
@@ -563,7 +563,7 @@
 }
 
 #[test]
-fn a_token_that_asks_too_fast_hears_when_to_come_back_and_others_are_answered() {
+fn token_over_its_rate_limit_gets_a_retry_after_and_other_tokens_are_answered() {
     let (stage, _) = started("token-rate", "");
     let file = "admin: {listen: ADMIN, tokens: [{token: all, name: ana}, {token: fast, tenant: acme, \
                 requests: {per_s: 0.01, burst: 2}}]}\n";
@@ -590,7 +590,7 @@
 }
 
 #[test]
-fn the_command_line_speaks_to_a_running_process() {
+fn command_line_changes_a_running_process() {
     let (stage, _) = started("cli", "");
     let place = stage.folder.join("next.yaml");
     std::fs::write(&place, stage.filled(&format!("{HEAD}limits: {{slots: 4}}\n"))).unwrap();
@@ -629,7 +629,7 @@
 }
 
 #[test]
-fn without_an_operators_file_nothing_is_listened_on_or_written_besides() {
+fn without_an_operators_file_no_extra_listener_or_file_is_created() {
     let stage = Stage::new("platform-alone");
     let ledger: Shared = Arc::new(Mutex::new(Ledger::default()));
     platform(stage.listener("platform"), ledger);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration without any socket: the reader's relations, the plan, the transaction, versions, and the change_service.
+//! Configuration without sockets: relations between settings, the plan, the transaction, versions, the change
+//! service.
 
 mod common;
 
@@ -16,17 +17,17 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Secrets' files, in memory.
-struct Kept(BTreeMap<&'static str, &'static str>);
+/// Files of secrets, in memory.
+struct MemoryFiles(BTreeMap<&'static str, &'static str>);
 
-impl SecretFiles for Kept {
+impl SecretFiles for MemoryFiles {
     fn read(&self, path: &str) -> Result<String, String> {
         self.0.get(path).map(|text| (*text).to_owned()).ok_or_else(|| "no such file".to_owned())
     }
 }
 
-fn files() -> Kept {
-    Kept(BTreeMap::from([("/run/pw", "from-a-file\n"), ("/run/empty", "\n")]))
+fn files() -> MemoryFiles {
+    MemoryFiles(BTreeMap::from([("/run/pw", "from-a-file\n"), ("/run/empty", "\n")]))
 }
 
 fn base() -> PlatformConfig {
@@ -50,7 +51,7 @@
     check(&base(), text, &files()).unwrap_or_else(|problems| panic!("{text}\n{problems}")).1
 }
 
-fn told(text: &str) -> Vec<String> {
+fn problems_of(text: &str) -> Vec<String> {
     let problems = check(&base(), text, &files()).map(|_| ()).expect_err(text);
     problems.list().iter().map(ToString::to_string).collect()
 }
@@ -79,7 +80,7 @@
 // ---- The model ----
 
 #[test]
-fn where_the_operators_file_is_silent_the_platforms_counts() {
+fn settings_missing_in_the_operators_file_come_from_the_platforms_file() {
     assert_eq!(model("").core.settings, base().settings);
     let text =
         "limits: {slots: 9, held_mb: 0.5}\ndiscovery: 127.0.0.9:1\ntenants: [{name: ria, quota_per_s: 3}]";
@@ -91,34 +92,34 @@
 }
 
 #[test]
-fn relations_are_checked_and_all_that_fail_are_told_with_their_lines() {
+fn all_violated_relations_are_reported_with_their_lines() {
     let text = "limits:\n  slots: 900\n  held_messages: 10\nlisten: 127.0.0.1:9\nclasses:\n- {name: a, effect: \
                 dedup, aim_ms: 9, deadline_ms: 5}\n- {name: a, effect: fragile, window_ms: 4, aim_ms: 1, \
                 deadline_ms: 5}\namqp:\n  listen: 127.0.0.1:9\n  tenants:\n  - {tenant: rai, user: u, password: \
                 {file: /run/none}}\nadmin:\n  listen: 127.0.0.1:10\n  tokens:\n  - token: same\n  - token: \
                 same\n  - {token: {file: /run/empty}, tenant: nobody}\n";
-    let told = told(text).join("\n");
+    let problems = problems_of(text).join("\n");
     for part in [
-        "limits.sockets: 1024 descriptors do not suffice for 900 slots",
-        "line 2: limits.slots: 900 slots for 10 held messages",
+        "limits.sockets: 1024 descriptors are not enough for 900 slots",
+        "line 2: limits.slots: 900 slots exceed the limit of 10 held messages",
         "classes[0].window_ms: missing",
         "line 6: classes[0].aim_ms: longer than deadline_ms",
         "line 7: classes[1].window_ms: only for effect dedup",
-        "line 7: classes[1].name: a stands at classes[0] too",
-        "line 9: amqp.listen: the address of listen",
-        "amqp.tenants[0].tenant: no tenant rai; name one of the tenants: onda, ria",
+        "line 7: classes[1].name: a is already used at classes[0]",
+        "line 9: amqp.listen: the same address as listen",
+        "amqp.tenants[0].tenant: unknown tenant rai; use one of the tenants: onda, ria",
         "amqp.tenants[0].password: /run/none: no such file",
         "line 16: admin.tokens[1].token: the same as another token",
         "admin.tokens[2].token: the secret is empty",
-        "admin.tokens[2].tenant: no tenant nobody",
+        "admin.tokens[2].tenant: unknown tenant nobody",
     ] {
-        assert!(told.contains(part), "{part} is not in\n{told}");
+        assert!(problems.contains(part), "{part} is not in\n{problems}");
     }
-    assert!(!told.contains("same\"") && !told.contains("from-a-file"));
+    assert!(!problems.contains("same\"") && !problems.contains("from-a-file"));
 }
 
 #[test]
-fn guarantees_beyond_what_there_is_are_refused_with_their_sum() {
+fn guarantees_that_exceed_the_total_are_rejected_with_their_sum() {
     let tenants = |slots: [u32; 2]| {
         let [a, b] = slots;
         format!(
@@ -129,16 +130,18 @@
     assert_eq!(model(&tenants([3, 3])).core.settings.isolation.len(), 2);
     model(include_str!("../example/two-tenants.yaml"));
     assert_eq!(
-        told(&tenants([3, 4])),
-        ["line 4: tenants[1].slots.guarantee: guarantees up to this tenant add up to 7, but there are 6 in all; \
-          guarantee 3 at most here, or less to others"]
+        problems_of(&tenants([3, 4])),
+        ["line 4: tenants[1].slots.guarantee: guarantees up to this tenant add up to 7, but only 6 are available; \
+          guarantee at most 3 here, or less to others"]
     );
-    assert!(told(&tenants([0, 6])).iter().any(|line| line.contains("a ceiling below the guarantee of 6")));
+    assert!(problems_of(&tenants([0, 6]))
+        .iter()
+        .any(|line| line.contains("the ceiling is below the guarantee of 6")));
 }
 
 #[test]
-fn a_membership_that_cannot_work_is_told_with_its_lines() {
-    let problems = told(
+fn unusable_membership_settings_are_reported_with_their_lines() {
+    let problems = problems_of(
         "membership:\n  name: ''\n  cluster: c\n  listen: 0.0.0.0:0\n  seeds: ['127.0.0.1:9', '[::1]:9']\n  key: short\n  \
          probe_interval_ms: 1\n",
     );
@@ -146,29 +149,29 @@
     for part in expected {
         assert!(problems.iter().any(|line| line.contains(part)), "{part} is not in {problems:?}");
     }
-    let problems = told(
+    let problems = problems_of(
         "membership:\n  name: ''\n  cluster: c\n  listen: 0.0.0.0:0\n  seeds: ['127.0.0.1:9', '[::1]:9']\n  key: short\n",
     );
     let expected = [
         "line 2: membership.name: 0 bytes; write a name of 1 to 64 bytes",
-        "line 4: membership.listen: a port that the system draws; write the port that the others are told",
-        "membership.advertise: 0.0.0.0:0 reaches nobody; write the address at which the others reach this forwarder",
+        "line 4: membership.listen: port 0 is assigned by the system; write a fixed port",
+        "membership.advertise: 0.0.0.0:0 is not a reachable address; write the address at which the other members reach this forwarder",
         "line 5: membership.seeds[1]: [::1]:9 cannot be sent to from 0.0.0.0:0; write a member's address",
-        "line 6: membership.key: short enough to be guessed; draw 16 bytes or more, the same for all members",
+        "line 6: membership.key: short enough to be guessed; generate at least 16 bytes, the same for all members",
     ];
     for part in expected {
         assert!(problems.iter().any(|line| line.contains(part)), "{part} is not in {problems:?}");
     }
     assert_eq!(problems.len(), expected.len(), "{problems:?}");
-    let told = model("membership: {name: a, cluster: c, listen: '127.0.0.1:9', key: '0123456789abcdef'}");
-    let members = told.members.clone().unwrap();
+    let model = model("membership: {name: a, cluster: c, listen: '127.0.0.1:9', key: '0123456789abcdef'}");
+    let members = model.members.clone().unwrap();
     assert_eq!((members.advertise, members.seeds.len()), (members.listen, 0));
-    let outline = format!("{:?}", told.outline(b"salt"));
+    let outline = format!("{:?}", model.outline(b"salt"));
     assert!(!outline.contains("0123456789abcdef") && outline.contains("membership.cluster"), "{outline}");
 }
 
 #[test]
-fn a_secret_shows_in_no_outline_difference_or_refusal_and_its_change_does() {
+fn secrets_are_never_shown_but_a_changed_secret_is_a_difference() {
     let with = |secret: &str| format!("admin: {{listen: '127.0.0.1:1', tokens: [{{token: {secret}}}]}}");
     let (one, other) = (model(&with("hunter2")), model(&with("{file: /run/pw}")));
     let (from, to) = (one.outline(b"s"), other.outline(b"s"));
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn the_order_of_a_list_is_no_difference() {
+fn reordering_a_list_is_no_difference() {
     let one = model("tenants: [{name: a, quota_per_s: 1}, {name: b, quota_per_s: 2}]");
     let other = model("tenants: [{name: b, quota_per_s: 2}, {name: a, quota_per_s: 1}]");
     assert_eq!(digest(&one.outline(b"")), digest(&other.outline(b"")));
@@ -191,7 +194,7 @@
 // ---- The plan ----
 
 #[test]
-fn what_cannot_change_in_a_running_process_is_refused_by_name() {
+fn changes_that_need_a_restart_are_rejected_by_name() {
     let effect = |effect: &str| {
         model(&format!("classes: [{{name: note, effect: {effect}, aim_ms: 1, deadline_ms: 2}}]"))
     };
@@ -201,7 +204,7 @@
     other.names.zones.push("y".into());
     let other = check(&other, "", &files()).unwrap().1;
     assert!(plan(&model(""), &other).unwrap_err().to_string().contains("kinds and zones cannot change"));
-    // A class may go, come and change its times.
+    // Classes can be removed, be added and change their times.
     let times = "classes: [{name: new, effect: fragile, aim_ms: 1, deadline_ms: 2}]";
     assert_eq!(plan(&model(""), &model(times)).unwrap().len(), 1);
 }
@@ -245,8 +248,9 @@
         .prop_map(|(a, b, c, d, e, f, g)| [a, b, c, d, e, f, g].concat())
 }
 
-/// A target that fails at one place, and notes all that happens.
-struct Fake {
+/// A change target that fails at a given point and records what is prepared and whether the version is
+/// written.
+struct FakeTarget {
     model: Model,
     fails_at: Option<Point>,
     at: Point,
@@ -254,32 +258,36 @@
     recorded: bool,
 }
 
-impl ChangeTarget for Fake {
+impl ChangeTarget for FakeTarget {
     type Prepared = PartKind;
 
     fn prepare(&mut self, step: &Step) -> Result<PartKind, Problem> {
         if self.fails_at == Some(self.at) {
-            return Err(Problem::new("", "fails", "as it should"));
+            return Err(Problem::new("", "fails", "as intended"));
         }
         self.held.push(step.kind());
         Ok(step.kind())
     }
 
     fn release(&mut self, step: &Step, held: PartKind) {
-        assert_eq!((step.kind(), self.held.pop()), (held, Some(held)), "let go in reverse order");
+        assert_eq!(
+            (step.kind(), self.held.pop()),
+            (held, Some(held)),
+            "prepared steps are released in reverse order"
+        );
         assert!(!self.recorded);
     }
 
     fn record(&mut self) -> Result<(), Problem> {
         if self.fails_at == Some(self.at) {
-            return Err(Problem::new("", "fails", "as it should"));
+            return Err(Problem::new("", "fails", "as intended"));
         }
         self.recorded = true;
         Ok(())
     }
 
     fn commit(&mut self, step: &Step, held: PartKind) {
-        assert!(self.recorded, "written before the first of it is in force");
+        assert!(self.recorded, "the version is written before the first commit");
         self.held.retain(|&kind| kind != held);
         step.apply(&mut self.model);
     }
@@ -293,7 +301,7 @@
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
     #[test]
-    fn do_then_undo_is_the_identity_for_every_prefix(from in document(), to in document()) {
+    fn undoing_any_applied_prefix_of_steps_restores_the_model(from in document(), to in document()) {
         let (from, to) = (model(&from), model(&to));
         let steps = plan(&from, &to).unwrap();
         let mut whole = from.clone();
@@ -309,16 +317,16 @@
     }
 
     #[test]
-    fn a_change_that_fails_anywhere_is_not_seen(from in document(), to in document(), at in 0usize..14) {
+    fn change_that_fails_at_any_point_has_no_effect(from in document(), to in document(), at in 0usize..14) {
         let (from, to) = (model(&from), model(&to));
         let steps = plan(&from, &to).unwrap();
         let fails_at = match at {
-            place if place < steps.len() => Some(Point::Prepare(place)),
-            place if place == steps.len() => Some(Point::Record),
+            index if index < steps.len() => Some(Point::Prepare(index)),
+            index if index == steps.len() => Some(Point::Record),
             _ => None,
         };
         let (at, held) = (Point::Done, Vec::new());
-        let mut target = Fake { model: from.clone(), fails_at, at, held, recorded: false };
+        let mut target = FakeTarget { model: from.clone(), fails_at, at, held, recorded: false };
         let done = transaction::run(&mut target, &steps);
         prop_assert_eq!(done.is_ok(), fails_at.is_none());
         prop_assert!(target.held.is_empty());
@@ -335,7 +343,7 @@
 }
 
 #[test]
-fn every_cut_of_the_versions_file_keeps_whole_versions() {
+fn versions_file_truncated_or_damaged_anywhere_yields_only_whole_versions() {
     let mut versions = Versions::new("abc".into(), 100_000);
     for number in 1..4 {
         versions = versions.with_version(version(number, "limits: {}\n# \"x\"\n")).unwrap();
@@ -360,7 +368,7 @@
 }
 
 #[test]
-fn the_oldest_versions_go_and_the_one_that_a_window_leads_back_to_stays() {
+fn oldest_versions_are_removed_but_not_the_one_an_open_window_restores() {
     let mut versions = Versions::new("abc".into(), 100_000);
     versions = versions.with_version(version(1, "")).unwrap();
     for number in 2..40 {
@@ -380,7 +388,7 @@
 }
 
 #[test]
-fn lines_at_the_end_of_the_file_say_the_same_as_a_new_one() {
+fn appended_lines_decode_to_the_same_history_as_a_rewritten_file() {
     let mut versions = Versions::new("abc".into(), 6_000).with_version(version(1, "")).unwrap();
     let mut bytes = versions.encode();
     for number in 2..40u64 {
@@ -397,10 +405,10 @@
     }
 }
 
-// ---- The change_service ----
+// ---- The change service ----
 
 #[test]
-fn a_change_made_from_another_version_loses_and_both_are_named() {
+fn change_made_from_an_outdated_version_is_rejected_with_both_versions() {
     let mut change_service = change_service();
     put(&mut change_service, change("limits: {slots: 7}", Some(1), None), ms(2_000));
     let refusal = change_service
@@ -414,7 +422,7 @@
 }
 
 #[test]
-fn a_window_keeps_others_out_and_goes_back_unless_confirmed() {
+fn open_window_blocks_other_changes_and_rolls_back_unless_confirmed() {
     let trial = Trial { duration_ms: 500, keep_on_expiry: false, bounds: Bounds::default() };
     let mut change_service = change_service();
     put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
@@ -426,7 +434,7 @@
     put(&mut change_service, back, ms(2_500));
     assert_eq!((change_service.model().core.settings.slots, change_service.versions().number()), (6, 3));
     assert!(change_service.check_window(ms(9_000), ServiceCounts::default(), Micros(0)).is_none());
-    // Confirmed, it stays.
+    // A confirmed version is kept.
     put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(10_000));
     let confirmed = change_service.confirm().unwrap();
     change_service.replace_versions(confirmed);
@@ -435,7 +443,7 @@
 }
 
 #[test]
-fn a_probation_ends_at_once_where_offers_are_turned_down_and_stays_where_not() {
+fn probation_rolls_back_on_rejected_submissions_and_otherwise_keeps_the_version() {
     let bounds = Bounds { turn_downs: Some(0.1), turn_ms: None };
     let trial = Trial { duration_ms: 5_000, keep_on_expiry: true, bounds };
     let mut change_service = change_service();
@@ -454,7 +462,7 @@
 }
 
 #[test]
-fn a_start_within_a_window_goes_back_and_one_after_does_not() {
+fn start_within_an_open_window_rolls_back_and_after_confirmation_does_not() {
     let trial = Trial { duration_ms: 60_000, keep_on_expiry: false, bounds: Bounds::default() };
     let mut change_service = change_service();
     put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
@@ -470,7 +478,7 @@
 }
 
 #[test]
-fn a_start_runs_the_last_version_and_not_an_edited_file() {
+fn start_runs_the_last_version_instead_of_an_edited_file() {
     let mut change_service = change_service();
     put(&mut change_service, change("limits: {slots: 7}", None, None), ms(2_000));
     let file = Some("limits: {slots: 9}");
@@ -484,7 +492,7 @@
             .unwrap()
             .0;
     assert_eq!((fresh.model().core.settings.slots, fresh.versions().number()), (9, 3));
-    // A version that the platform's file no longer allows gives way to one before it.
+    // If the platform's file no longer allows the last version, an earlier one is run.
     let mut smaller = base();
     smaller.tenants = vec!["ria".into()];
     smaller.settings.tenants = vec![1.0];
@@ -494,11 +502,11 @@
         ChangeService::start(smaller, change_service.versions().clone(), None, false, &files(), ms(5_000))
             .unwrap();
     assert_eq!((next.model().core.settings.slots, next.versions().number()), (7, 4));
-    assert!(notes.iter().any(|note| note.contains("cannot run any more")), "{notes:?}");
+    assert!(notes.iter().any(|note| note.contains("a stored version is no longer valid")), "{notes:?}");
 }
 
 #[test]
-fn an_undo_goes_to_any_kept_version_by_the_same_path() {
+fn undo_restores_any_kept_version_as_a_new_version() {
     let mut change_service = change_service();
     for slots in 7..12 {
         put(&mut change_service, change(&format!("limits: {{slots: {slots}}}"), None, None), ms(2_000));
@@ -515,7 +523,7 @@
 }
 
 #[test]
-fn a_change_of_nothing_makes_no_version_and_a_bad_one_changes_nothing() {
+fn change_without_effect_makes_no_version_and_an_invalid_one_changes_nothing() {
     let mut change_service = change_service();
     put(&mut change_service, change("limits: {slots: 6}\n# said anew\n", None, None), ms(2_000));
     assert_eq!(change_service.versions().number(), 1);
