--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -39,7 +39,7 @@
 text_values! {
     /// The effect of sending a message to its destination more than once.
     Repeats {
-        /// It may be sent again without limit.
+        /// It may be sent again at any time.
         Retryable = "retryable",
         /// Receivers discard duplicates for `window_ms`.
         Dedup = "dedup",
@@ -61,15 +61,15 @@
 }
 
 text_values! {
-    /// The lowest severity of log lines that are written.
+    /// The least severe log lines that are written.
     Level {
         /// Errors.
         Error = "error",
         /// Errors and warnings.
         Warn = "warn",
-        /// Also events.
+        /// Errors, warnings and events.
         Info = "info",
-        /// Also each step.
+        /// All of these, and each step.
         Debug = "debug"
     }
 }
@@ -200,7 +200,7 @@
 section! {
     /// Log lines for operators, on standard error.
     Log {
-        /// The lowest severity of log lines that are written; default `info`.
+        /// The least severe log lines that are written; default `info`.
         level: Option<Level>;
         /// The format of a log line; default `text`. A change takes effect at the next start.
         form: Option<Form>;
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -312,20 +312,20 @@
         if let Some(listen) = self.amqp_listen {
             out.put("amqp.listen", listen);
         }
-        for one in &self.publishers {
-            out.put(format!("amqp.tenants[{}].tenant", one.user), &one.tenant);
-            out.hide(format!("amqp.tenants[{}].password", one.user), &one.password);
+        for publisher in &self.publishers {
+            out.put(format!("amqp.tenants[{}].tenant", publisher.user), &publisher.tenant);
+            out.hide(format!("amqp.tenants[{}].password", publisher.user), &publisher.password);
         }
-        for one in &self.brokers {
-            let at = |key: &str| format!("amqp.brokers[{}].{key}", one.name);
-            out.put(at("hostPort"), one.address);
-            out.put(at("cell"), one.cell);
-            out.put(at("machineType"), one.kind);
-            out.put(at("user"), &one.user);
-            out.hide(at("password"), &one.password);
-            out.put(at("vhost"), &one.vhost);
-            out.put(at("exchange"), &one.exchange);
-            out.put(at("routing_key"), &one.routing_key);
+        for broker in &self.brokers {
+            let at = |key: &str| format!("amqp.brokers[{}].{key}", broker.name);
+            out.put(at("hostPort"), broker.address);
+            out.put(at("cell"), broker.cell);
+            out.put(at("machineType"), broker.kind);
+            out.put(at("user"), &broker.user);
+            out.hide(at("password"), &broker.password);
+            out.put(at("vhost"), &broker.vhost);
+            out.put(at("exchange"), &broker.exchange);
+            out.put(at("routing_key"), &broker.routing_key);
         }
         if let Some((resolver, service)) = &self.dns_sd {
             out.put("dns_sd.resolver", resolver);
@@ -338,14 +338,14 @@
             members.outline(|key, value| out.put(format!("membership.{key}"), value));
             members.key.iter().for_each(|key| out.hide("membership.key", key));
         }
-        for one in &self.tokens {
-            out.hide(format!("admin.tokens[{}].token", one.name), &one.token);
-            if let Some(rate) = one.requests {
-                out.put(format!("admin.tokens[{}].requests.per_s", one.name), rate.a_second);
-                out.put(format!("admin.tokens[{}].requests.burst", one.name), rate.burst);
+        for token in &self.tokens {
+            out.hide(format!("admin.tokens[{}].token", token.name), &token.token);
+            if let Some(rate) = token.requests {
+                out.put(format!("admin.tokens[{}].requests.per_s", token.name), rate.a_second);
+                out.put(format!("admin.tokens[{}].requests.burst", token.name), rate.burst);
             }
-            if let Some(tenant) = &one.tenant {
-                out.put(format!("admin.tokens[{}].tenant", one.name), tenant);
+            if let Some(tenant) = &token.tenant {
+                out.put(format!("admin.tokens[{}].tenant", token.name), tenant);
             }
         }
         out.0
@@ -515,59 +515,72 @@
         })
     };
     let mut publishers = Vec::new();
-    for (index, one) in amqp.and_then(|amqp| amqp.tenants.as_ref()).into_iter().flatten().enumerate() {
-        let password = resolve(format!("amqp.tenants[{index}].password"), &one.password);
-        publishers.push(Publisher { tenant: one.tenant.clone(), user: one.user.clone(), password });
+    for (index, login) in amqp.and_then(|amqp| amqp.tenants.as_ref()).into_iter().flatten().enumerate() {
+        let password = resolve(format!("amqp.tenants[{index}].password"), &login.password);
+        publishers.push(Publisher { tenant: login.tenant.clone(), user: login.user.clone(), password });
     }
     let mut brokers = Vec::new();
-    for (index, one) in amqp.and_then(|amqp| amqp.brokers.as_ref()).into_iter().flatten().enumerate() {
+    for (index, broker) in amqp.and_then(|amqp| amqp.brokers.as_ref()).into_iter().flatten().enumerate() {
         let kinds = &base.names.kinds;
         brokers.push(Broker {
-            name: one.instanceId.clone(),
-            address: one.hostPort,
-            cell: one.cell,
-            kind: kinds.iter().position(|known| *known == one.machineType).unwrap_or(kinds.len()),
-            user: one.user.clone(),
-            password: resolve(format!("amqp.brokers[{index}].password"), &one.password),
-            vhost: one.vhost.clone(),
-            exchange: one.exchange.clone(),
-            routing_key: one.routing_key.clone(),
+            name: broker.instanceId.clone(),
+            address: broker.hostPort,
+            cell: broker.cell,
+            kind: kinds.iter().position(|known| *known == broker.machineType).unwrap_or(kinds.len()),
+            user: broker.user.clone(),
+            password: resolve(format!("amqp.brokers[{index}].password"), &broker.password),
+            vhost: broker.vhost.clone(),
+            exchange: broker.exchange.clone(),
+            routing_key: broker.routing_key.clone(),
         });
     }
     let mut tokens = Vec::new();
-    for (index, one) in document.admin.iter().flat_map(|admin| admin.tokens.iter().flatten()).enumerate() {
-        let token = resolve(format!("admin.tokens[{index}].token"), &one.token);
-        let name = one.name.clone().unwrap_or_else(|| format!("token {}", index + 1));
-        let usual = one.tenant.as_ref().map(|_| DEFAULT_TENANT_REQUESTS);
-        let requests = one.requests.as_ref().map(rate).or(usual);
-        tokens.push(Token { token, name, tenant: one.tenant.clone(), requests });
+    for (index, configured) in
+        document.admin.iter().flat_map(|admin| admin.tokens.iter().flatten()).enumerate()
+    {
+        let token = resolve(format!("admin.tokens[{index}].token"), &configured.token);
+        let name = configured.name.clone().unwrap_or_else(|| format!("token {}", index + 1));
+        let default_rate = configured.tenant.as_ref().map(|_| DEFAULT_TENANT_REQUESTS);
+        let requests = configured.requests.as_ref().map(rate).or(default_rate);
+        tokens.push(Token { token, name, tenant: configured.tenant.clone(), requests });
     }
     let membership = document.membership.as_ref();
     let key = membership
         .and_then(|section| section.key.as_ref())
         .map(|key| resolve("membership.key".to_owned(), key));
     let members = membership.map(|section| members::read(&mut problems, section, key));
-    for (index, one) in publishers.iter().enumerate().filter(|(_, one)| !known.contains(one.tenant.as_str()))
+    for (index, publisher) in
+        publishers.iter().enumerate().filter(|(_, publisher)| !known.contains(publisher.tenant.as_str()))
     {
-        report_unknown_tenant(&mut problems, format!("amqp.tenants[{index}].tenant"), &one.tenant, &known);
+        report_unknown_tenant(
+            &mut problems,
+            format!("amqp.tenants[{index}].tenant"),
+            &publisher.tenant,
+            &known,
+        );
     }
-    for (index, one) in tokens.iter().enumerate() {
-        if let Some(tenant) = one.tenant.as_deref().filter(|tenant| !known.contains(tenant)) {
+    for (index, token) in tokens.iter().enumerate() {
+        if let Some(tenant) = token.tenant.as_deref().filter(|tenant| !known.contains(tenant)) {
             report_unknown_tenant(&mut problems, format!("admin.tokens[{index}].tenant"), tenant, &known);
         }
-        if tokens[..index].iter().any(|other| other.token == one.token) {
+        if tokens[..index].iter().any(|other| other.token == token.token) {
             let path = format!("admin.tokens[{index}].token");
             problems.add(Problem::new(path, "the same as another token", "use a separate secret for each"));
         }
     }
-    check_unique_names(&mut problems, "amqp.tenants", "user", publishers.iter().map(|one| one.user.as_str()));
+    check_unique_names(
+        &mut problems,
+        "amqp.tenants",
+        "user",
+        publishers.iter().map(|publisher| publisher.user.as_str()),
+    );
     check_unique_names(
         &mut problems,
         "amqp.brokers",
         "instanceId",
-        brokers.iter().map(|one| one.name.as_str()),
+        brokers.iter().map(|broker| broker.name.as_str()),
     );
-    check_unique_names(&mut problems, "admin.tokens", "name", tokens.iter().map(|one| one.name.as_str()));
+    check_unique_names(&mut problems, "admin.tokens", "name", tokens.iter().map(|token| token.name.as_str()));
     let log = document.log.as_ref();
     let log = |pick: fn(&Log) -> Option<Level>| log.and_then(pick).unwrap_or(Level::Info);
     let form = document.log.as_ref().and_then(|log| log.form).unwrap_or(Form::Text);
--- a/src/config/probation.rs
+++ b/src/config/probation.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Submissions before the share of rejected ones is meaningful.
+/// Submissions needed before the share of rejected ones is meaningful.
 const MIN_SUBMISSIONS: u64 = 20;
 /// Loop iterations over the bound that count as a violation; fewer can be chance.
 const SLOW_ITERATION_LIMIT: u64 = 5;
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -240,7 +240,7 @@
                 Some((_, name)) => format!("did you mean {name}?"),
                 None => format!("known keys: {}", known.join(", ")),
             };
-            // A key can be a misplaced secret: only 40 printable characters of it are shown.
+            // A key can be a misplaced secret: at most 40 printable characters of it are shown.
             let shown: String = key.chars().filter(|c| c.is_ascii_graphic()).take(40).collect();
             problems.add(Location::Key(&at, &shown).problem(*line, "unknown key", remedy));
         }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -69,7 +69,7 @@
     change_service_with(Versions::new("salt".into(), 100_000), Some("limits: {slots: 6}"), ms(1_000))
 }
 
-fn put(change_service: &mut ChangeService, change: Change, now: Micros) {
+fn apply_change(change_service: &mut ChangeService, change: Change, now: Micros) {
     let planned = change_service
         .plan_change(change, now, &files())
         .unwrap_or_else(|refusal| panic!("{}", refusal.problems));
@@ -410,7 +410,7 @@
 #[test]
 fn change_made_from_an_outdated_version_is_rejected_with_both_versions() {
     let mut change_service = change_service();
-    put(&mut change_service, change("limits: {slots: 7}", Some(1), None), ms(2_000));
+    apply_change(&mut change_service, change("limits: {slots: 7}", Some(1), None), ms(2_000));
     let refusal = change_service
         .plan_change(change("limits: {slots: 8}", Some(1), None), ms(2_001), &files())
         .err()
@@ -425,17 +425,17 @@
 fn open_window_blocks_other_changes_and_rolls_back_unless_confirmed() {
     let trial = Trial { duration_ms: 500, keep_on_expiry: false, bounds: Bounds::default() };
     let mut change_service = change_service();
-    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
+    apply_change(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
     let other = change_service.plan_change(change("limits: {slots: 8}", None, None), ms(2_100), &files());
     assert_eq!(other.err().unwrap().status, 409);
     assert!(change_service.check_window(ms(2_499), ServiceCounts::default(), Micros(0)).is_none());
     let back =
-        change_service.check_window(ms(2_500), ServiceCounts::default(), Micros(0)).expect("goes back");
-    put(&mut change_service, back, ms(2_500));
+        change_service.check_window(ms(2_500), ServiceCounts::default(), Micros(0)).expect("rolls back");
+    apply_change(&mut change_service, back, ms(2_500));
     assert_eq!((change_service.model().core.settings.slots, change_service.versions().number()), (6, 3));
     assert!(change_service.check_window(ms(9_000), ServiceCounts::default(), Micros(0)).is_none());
     // A confirmed version is kept.
-    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(10_000));
+    apply_change(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(10_000));
     let confirmed = change_service.confirm().unwrap();
     change_service.replace_versions(confirmed);
     assert!(change_service.check_window(ms(20_000), ServiceCounts::default(), Micros(0)).is_none());
@@ -447,7 +447,7 @@
     let bounds = Bounds { turn_downs: Some(0.1), turn_ms: None };
     let trial = Trial { duration_ms: 5_000, keep_on_expiry: true, bounds };
     let mut change_service = change_service();
-    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
+    apply_change(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
     let bad = ServiceCounts { accepted: 80, rejected: 20, listener_failures: 0 };
     assert!(change_service
         .check_window(ms(2_010), bad, Micros(0))
@@ -465,7 +465,7 @@
 fn start_within_an_open_window_rolls_back_and_after_confirmation_does_not() {
     let trial = Trial { duration_ms: 60_000, keep_on_expiry: false, bounds: Bounds::default() };
     let mut change_service = change_service();
-    put(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
+    apply_change(&mut change_service, change("limits: {slots: 7}", None, Some(trial)), ms(2_000));
     let kept = Versions::decode(&change_service.versions().encode(), 100_000).unwrap().0;
     let next = change_service_with(kept, Some("limits: {slots: 9}"), ms(3_000));
     assert_eq!((next.model().core.settings.slots, next.versions().number()), (6, 3));
@@ -480,7 +480,7 @@
 #[test]
 fn start_runs_the_last_version_instead_of_an_edited_file() {
     let mut change_service = change_service();
-    put(&mut change_service, change("limits: {slots: 7}", None, None), ms(2_000));
+    apply_change(&mut change_service, change("limits: {slots: 7}", None, None), ms(2_000));
     let file = Some("limits: {slots: 9}");
     let (next, notes) =
         ChangeService::start(base(), change_service.versions().clone(), file, false, &files(), ms(3_000))
@@ -497,7 +497,7 @@
     smaller.tenants = vec!["ria".into()];
     smaller.settings.tenants = vec![1.0];
     let logins = "amqp: {tenants: [{tenant: onda, user: u, password: p}]}";
-    put(&mut change_service, change(logins, None, None), ms(4_000));
+    apply_change(&mut change_service, change(logins, None, None), ms(4_000));
     let (next, notes) =
         ChangeService::start(smaller, change_service.versions().clone(), None, false, &files(), ms(5_000))
             .unwrap();
@@ -509,11 +509,15 @@
 fn undo_restores_any_kept_version_as_a_new_version() {
     let mut change_service = change_service();
     for slots in 7..12 {
-        put(&mut change_service, change(&format!("limits: {{slots: {slots}}}"), None, None), ms(2_000));
+        apply_change(
+            &mut change_service,
+            change(&format!("limits: {{slots: {slots}}}"), None, None),
+            ms(2_000),
+        );
     }
     assert_eq!(change_service.previous_version(), Some(5));
     let back = change_service.rollback_to(2, "ana".into(), "".into()).unwrap();
-    put(&mut change_service, back, ms(3_000));
+    apply_change(&mut change_service, back, ms(3_000));
     assert_eq!((change_service.model().core.settings.slots, change_service.versions().number()), (7, 7));
     assert_eq!(
         change_service.versions().current().unwrap().digest,
@@ -525,7 +529,7 @@
 #[test]
 fn change_without_effect_makes_no_version_and_an_invalid_one_changes_nothing() {
     let mut change_service = change_service();
-    put(&mut change_service, change("limits: {slots: 6}\n# said anew\n", None, None), ms(2_000));
+    apply_change(&mut change_service, change("limits: {slots: 6}\n# said anew\n", None, None), ms(2_000));
     assert_eq!(change_service.versions().number(), 1);
     let before = change_service.versions().clone();
     let refusal = change_service
