--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -424,7 +424,7 @@
             }
             _ => match text {
                 Ok(text) => self.take_over(text, now),
-                Err(problem) => log!("configuration not read again, the old one keep_on_expiry: {problem}"),
+                Err(problem) => log!("configuration not read again, the old one stays: {problem}"),
             },
         }
     }
@@ -435,9 +435,7 @@
         }
         let base = match super::config::load() {
             Ok(config) => config.base,
-            Err(problem) => {
-                return log!("configuration not read again, the old one keep_on_expiry: {problem}")
-            }
+            Err(problem) => return log!("configuration not read again, the old one stays: {problem}"),
         };
         let (who, why) = ("SIGHUP".to_owned(), "the files were read again".to_owned());
         let change =
@@ -452,7 +450,7 @@
             }
             Err(refusal) => {
                 let told = refusal.problems.to_string().replace('\n', "; ");
-                log!("configuration not read again, the old one keep_on_expiry: {told}");
+                log!("configuration not read again, the old one stays: {told}");
             }
         }
     }
