--- a/src/config/problem.rs
+++ b/src/config/problem.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a configuration: where, what, and what would do. A check tells all of it at once.
+//! Problems of a configuration, each with its location and a remedy. A check reports all problems at once.
 
 use serde::Serialize;
 use std::fmt;
 
-/// One problem. Never holds the value of a secret.
+/// A problem found by a check. It never contains the value of a secret.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Where in the configuration, as `amqp.brokers[2].hostPort`; empty for the whole.
+    /// Path in the configuration, for example `amqp.brokers[2].hostPort`; empty for the whole document.
     pub path: String,
-    /// Line in the operators' file, from 1; none where the value is not from there.
+    /// Line in the operators' file, from 1; `None` if the value is not from that file.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub line: Option<u64>,
     /// What is wrong.
     pub what: String,
-    /// What would do.
+    /// How to correct it.
     pub remedy: String,
 }
 
 impl Problem {
-    /// A problem that has no line.
+    /// Creates a problem without a line.
     pub fn new(path: impl Into<String>, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
         Problem { path: path.into(), line: None, what: what.into(), remedy: remedy.into() }
     }
@@ -36,43 +36,44 @@
     }
 }
 
-/// The problems of one check, bounded: a file of nothing but errors is not told line by line.
+/// The problems of one check. The list is bounded, so a file that consists of errors does not fill it without
+/// limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems {
-    told: Vec<Problem>,
-    more: usize,
+    listed: Vec<Problem>,
+    omitted: usize,
 }
 
-/// Problems told of one check at most; the rest is counted.
-pub const MOST: usize = 100;
+/// Maximum number of listed problems per check; further ones are only counted.
+pub const MAX_LISTED: usize = 100;
 
 impl Problems {
-    /// One more.
+    /// Adds a problem, or only counts it where the list is full.
     pub fn add(&mut self, problem: Problem) {
-        if self.told.len() < MOST {
-            self.told.push(problem);
+        if self.listed.len() < MAX_LISTED {
+            self.listed.push(problem);
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
 
-    /// None.
+    /// Whether there is no problem.
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.listed.is_empty()
     }
 
-    /// All that are told.
+    /// The listed problems.
     pub fn list(&self) -> &[Problem] {
-        &self.told
+        &self.listed
     }
 
-    /// How many there are besides.
-    pub fn more(&self) -> usize {
-        self.more
+    /// Number of problems that are counted but not listed.
+    pub fn omitted(&self) -> usize {
+        self.omitted
     }
 
-    /// The value where there is no problem.
-    pub fn or<T>(self, value: T) -> Result<T, Problems> {
+    /// Returns the value if there is no problem.
+    pub fn into_result<T>(self, value: T) -> Result<T, Problems> {
         if self.is_empty() {
             Ok(value)
         } else {
@@ -83,17 +84,17 @@
 
 impl From<Problem> for Problems {
     fn from(problem: Problem) -> Problems {
-        Problems { told: vec![problem], more: 0 }
+        Problems { listed: vec![problem], omitted: 0 }
     }
 }
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (place, problem) in self.told.iter().enumerate() {
-            write!(f, "{}{problem}", if place == 0 { "" } else { "\n" })?;
+        for (index, problem) in self.listed.iter().enumerate() {
+            write!(f, "{}{problem}", if index == 0 { "" } else { "\n" })?;
         }
-        if self.more > 0 {
-            write!(f, "\nand {} more", self.more)?;
+        if self.omitted > 0 {
+            write!(f, "\nand {} more", self.omitted)?;
         }
         Ok(())
     }
