--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -39,7 +39,10 @@
 impl Membership {
     /// The protocol's pace: what is not told follows the probe interval.
     pub fn settings(&self) -> Settings {
-        Settings { suspicion_multiplier: self.suspicion_multiplier, ..Settings::paced(self.probe_interval) }
+        Settings {
+            suspicion_multiplier: self.suspicion_multiplier,
+            ..Settings::with_probe_interval(self.probe_interval)
+        }
     }
 
     /// Its values by key, but for the secret.
--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -4,7 +4,7 @@
 
 use super::endpoints::{Answer, Endpoint};
 use crate::lifecycle::Lifecycle;
-use crate::membership::share::{Rules, Shares};
+use crate::membership::share::{ShareSettings, Shares};
 use crate::membership::{Identity, Node, Output, Settings as Pace};
 use crate::net::list::spread::Spread;
 use crate::startup::kept::FRESH;
@@ -274,7 +274,7 @@
             if knows {
                 lists.from_before(EDITION, LIST, None);
             }
-            let rules = Rules { floor: siblings as u32, ..Rules::default() };
+            let rules = ShareSettings { min_divisor: siblings as u32, ..ShareSettings::default() };
             Mates {
                 node,
                 lists,
@@ -394,7 +394,7 @@
             if world.list_calls.len() > calls {
                 mates.lists.asks(now);
             }
-            mates.node.hold(mates.lists.holding());
+            mates.node.set_list(mates.lists.holding());
             if mates.lists.confirmed().is_some_and(|at| now.minus(at) < FRESH) {
                 self.life.confirmed();
             }
@@ -433,9 +433,9 @@
         let mut outputs = Vec::new();
         let Some(mates) = &mut self.mates else { return };
         if let Some((to, wanted)) = mates.lists.tick(now) {
-            mates.node.ask(now, to, wanted, &mut outputs);
+            mates.node.request_list_pieces(now, to, wanted, &mut outputs);
         }
-        mates.shares.observe(now, mates.node.view());
+        mates.shares.observe(now, mates.node.counts());
         let divisor = mates.shares.divisor(now);
         self.dispatcher.shared_by(Some(divisor));
         self.carry_out(now, outputs, out);
@@ -561,21 +561,21 @@
             match output {
                 Output::Send { to, bytes } => out.push((to, bytes)),
                 Output::Changed(_) => changed = true,
-                Output::Holds(from, holding) => mates.lists.told(now, from, holding),
-                Output::Asked(to, wanted) => {
+                Output::ListAnnounced(from, holding) => mates.lists.told(now, from, holding),
+                Output::ListRequested(to, wanted) => {
                     for (index, count, bytes) in mates.lists.give(now, wanted) {
-                        mates.node.give(now, to, (wanted.edition, index, count), bytes, &mut more);
+                        mates.node.send_list_piece(now, to, (wanted.edition, index, count), bytes, &mut more);
                     }
                 }
-                Output::Piece { from, edition, index, count, bytes } => {
+                Output::ListPiece { from, edition, index, count, bytes } => {
                     let which = (edition, index.into(), count.into());
                     match mates.lists.piece(now, from, which, &bytes) {
-                        Came::Ask(to, wanted) => mates.node.ask(now, to, wanted, &mut more),
+                        Came::Ask(to, wanted) => mates.node.request_list_pieces(now, to, wanted, &mut more),
                         Came::Whole(edition, bytes) => mates.lists.taken(edition, bytes),
                         Came::Nothing | Came::Torn(_) => {}
                     }
                 }
-                Output::Namesake(_) | Output::Renewed(_) | Output::Part(..) => {}
+                Output::NameConflict(_) | Output::GenerationRaised(_) | Output::MaintenancePart(..) => {}
             }
         }
         for output in more {
@@ -585,7 +585,7 @@
         }
         if changed {
             mates.lists.view(now, mates.node.live_names());
-            mates.among = mates.node.among_started(now.minus(STARTING).0);
+            mates.among = mates.node.rank_among_started(now.minus(STARTING).0);
         }
     }
 
--- a/src/lab/maintenance.rs
+++ b/src/lab/maintenance.rs
@@ -10,7 +10,7 @@
 use crate::maintenance::parts::{parts, Assembly};
 use crate::maintenance::register::{Acceptor, Message};
 use crate::maintenance::request::{self, Fleet};
-use crate::membership::{self, Identity, Node, State, View};
+use crate::membership::{self, Identity, MemberCounts, Node, State};
 use crate::Micros;
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -99,7 +99,7 @@
     }
 
     fn counts(&self) -> (u32, u32) {
-        let View { alive, suspect, dead, .. } = self.0.view();
+        let MemberCounts { alive, suspect, dead, .. } = self.0.counts();
         ((alive + suspect + dead) as u32, alive as u32)
     }
 }
@@ -165,7 +165,7 @@
         for output in outputs {
             match output {
                 membership::Output::Send { to, bytes } => out.push((to, bytes)),
-                membership::Output::Part(from, part) => {
+                membership::Output::MaintenancePart(from, part) => {
                     let whole = self.assembly.take(now, &from, part);
                     let message =
                         whole.and_then(|bytes| ciborium::from_reader::<Message, _>(&bytes[..]).ok());
@@ -215,7 +215,7 @@
                     let look = matches!(message, Message::Ask(_));
                     for part in parts(&bytes).into_iter().flatten() {
                         *(if look { &mut world.looked } else { &mut world.agreed }) += 1;
-                        self.node.part(now, &name, part, &mut outputs);
+                        self.node.send_maintenance_part(now, &name, part, &mut outputs);
                     }
                     self.carry_out(now, outputs, out);
                 }
--- a/src/lab/membership.rs
+++ b/src/lab/membership.rs
@@ -226,7 +226,7 @@
         let live = live_count(&net, n);
         let whole = || {
             (0..n).filter(|&i| !net.crashed(i)).all(|i| {
-                let view = nodes[i].view();
+                let view = nodes[i].counts();
                 view.live() == live && view.dead == 0
             })
         };
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,62 +1,65 @@
-//! News waiting to be told: each change of a member rides on messages until it was sent a bounded number of times,
-//! the least sent first. A newer change of the same member takes the place of the older one.
+//! The dissemination queue: each membership update is piggybacked on datagrams a bounded number of times, the
+//! least sent first. A newer update replaces an older one about the same member.
 
 use super::Entry;
 use std::collections::{BTreeSet, HashMap};
 
+/// The updates that still have to be sent (see the module documentation).
 #[derive(Default)]
-pub struct Broadcasts {
-    /// By member name: the news, how often it was sent, and its place in `order`.
-    news: HashMap<String, (Entry, u32, u64)>,
-    /// (times sent, newest first by a falling number): the first is the next to tell.
+pub struct BroadcastQueue {
+    /// By member name: the update, how often it was sent, and its rank in `order`.
+    updates: HashMap<String, (Entry, u32, u64)>,
+    /// (times sent, rank, name); the first one is sent next.
     order: BTreeSet<(u32, u64, String)>,
-    next: u64,
+    /// Number of updates queued so far, from which ranks are derived.
+    pushed: u64,
 }
 
-impl Broadcasts {
-    /// Tells `entry` from now on, in place of anything older about the same member.
+impl BroadcastQueue {
+    /// Queues `entry` and replaces any older update about the same member.
     pub fn push(&mut self, entry: Entry) {
         let name = entry.id.name.clone();
-        if let Some((_, sent, place)) = self.news.remove(&name) {
-            self.order.remove(&(sent, place, name.clone()));
+        if let Some((_, sent, rank)) = self.updates.remove(&name) {
+            self.order.remove(&(sent, rank, name.clone()));
         }
-        // Newest first among those sent equally often: a falling number sorts first.
-        self.next += 1;
-        let place = u64::MAX - self.next;
-        self.order.insert((0, place, name.clone()));
-        self.news.insert(name, (entry, 0, place));
+        // Among equally often sent updates the newest comes first: ranks fall, and the lowest sorts first.
+        self.pushed += 1;
+        let rank = u64::MAX - self.pushed;
+        self.order.insert((0, rank, name.clone()));
+        self.updates.insert(name, (entry, 0, rank));
     }
 
-    /// Up to `room` bytes of news, each counted as sent once more; news sent `limit` times is done.
-    pub fn take(&mut self, mut room: usize, limit: u32, out: &mut Vec<Entry>) {
-        let mut sent_now = Vec::new();
+    /// Adds updates of up to `capacity` bytes to `out` and counts each as sent once more. An update sent
+    /// `limit` times leaves the queue.
+    pub fn take_batch(&mut self, mut capacity: usize, limit: u32, out: &mut Vec<Entry>) {
+        let mut batch = Vec::new();
         while let Some(first) = self.order.iter().next().cloned() {
-            let (entry, _, _) = &self.news[&first.2];
+            let (entry, _, _) = &self.updates[&first.2];
             let size = super::wire::entry_size(entry);
-            if size > room || out.len() == usize::from(u8::MAX) {
+            if size > capacity || out.len() == usize::from(u8::MAX) {
                 break;
             }
-            room -= size;
+            capacity -= size;
             out.push(entry.clone());
             self.order.remove(&first);
-            sent_now.push(first);
+            batch.push(first);
         }
-        for (sent, place, name) in sent_now {
+        for (sent, rank, name) in batch {
             let sent = sent + 1;
             if sent >= limit {
-                self.news.remove(&name);
+                self.updates.remove(&name);
             } else {
-                self.order.insert((sent, place, name.clone()));
-                if let Some(news) = self.news.get_mut(&name) {
-                    news.1 = sent;
+                self.order.insert((sent, rank, name.clone()));
+                if let Some(update) = self.updates.get_mut(&name) {
+                    update.1 = sent;
                 }
             }
         }
     }
 
-    /// News not yet told to its limit.
+    /// Number of updates still to be sent.
     pub fn len(&self) -> usize {
-        self.news.len()
+        self.updates.len()
     }
 }
 
--- a/src/membership/gossip/tests.rs
+++ b/src/membership/gossip/tests.rs
@@ -7,26 +7,26 @@
 }
 
 #[test]
-fn news_is_told_its_number_of_times_least_sent_first_and_the_newer_replaces() {
-    let mut queue = Broadcasts::default();
+fn updates_are_sent_least_sent_first_up_to_the_limit_and_replaced_by_newer_ones() {
+    let mut queue = BroadcastQueue::default();
     queue.push(entry("a", 1));
     queue.push(entry("b", 1));
     let mut out = Vec::new();
-    queue.take(40, 2, &mut out);
-    assert_eq!(out.len(), 1, "one fits");
+    queue.take_batch(40, 2, &mut out);
+    assert_eq!(out.len(), 1, "the capacity fits one update");
     assert_eq!(out[0].id.name, "b", "newest first");
     out.clear();
-    queue.take(40, 2, &mut out);
+    queue.take_batch(40, 2, &mut out);
     assert_eq!(out[0].id.name, "a", "least sent first");
     queue.push(entry("a", 2));
     out.clear();
-    queue.take(1_000, 2, &mut out);
+    queue.take_batch(1_000, 2, &mut out);
     assert_eq!(
         out.iter().map(|e| (e.id.name.as_str(), e.incarnation)).collect::<Vec<_>>(),
         [("a", 2), ("b", 1)]
     );
     out.clear();
-    queue.take(1_000, 2, &mut out);
-    assert_eq!(out.len(), 1, "b was told twice and is done");
+    queue.take_batch(1_000, 2, &mut out);
+    assert_eq!(out.len(), 1, "b was sent twice and left the queue");
     assert_eq!(queue.len(), 0);
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! Who else is there: a membership protocol of the SWIM family with Lifeguard's refinements, without I/O.
+//! Group membership without I/O: the SWIM protocol with Lifeguard's refinements.
 //!
-//! A [`Node`] is told what came in and when, and answers with datagrams to send and changes of members; it opens no
-//! socket and reads no clock, so the program's loop and the lab's simulated fleet drive the same code. The design,
-//! its bounds and what was measured are in `docs/membership.md`.
+//! The caller passes received datagrams and the current time to a [`Node`], which returns datagrams to send
+//! and membership changes. It opens no socket and reads no clock, so the program's event loop and the lab's
+//! simulated fleet drive the same code. `docs/membership.md` describes the design, its bounds and the
+//! measurements.
 
 mod gossip;
 mod protocol;
@@ -10,37 +11,37 @@
 pub mod share;
 pub mod wire;
 
-pub use protocol::{Change, Node, Output, Seen, Stats, View, MOST_MEMBERS};
+pub use protocol::{MemberCounts, MemberInfo, Node, Output, StateChange, Stats, MAX_MEMBERS};
 
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// A member: one start of one process. A restart is a new generation, never the old member again.
+/// Identifies a member: one start of one process. A restart gets a new generation and is a new member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Identity {
-    /// Unique within the cluster, as the operators name the forwarder.
+    /// Unique within the cluster; the operators name the forwarder.
     pub name: String,
-    /// Where its membership socket listens.
+    /// Address of its membership socket.
     pub address: SocketAddr,
-    /// Drawn at each start, above the last start's.
+    /// Chosen at each start, above the previous start's.
     pub generation: u64,
 }
 
-/// What a member is believed to be.
+/// State of a member as seen by another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// Heard of at its incarnation, no doubt told.
+    /// Known at its incarnation and not suspected.
     Alive,
-    /// A probe failed, or another said so; dead unless it refutes in time.
+    /// A probe failed here or at another member. It is declared dead unless it refutes in time.
     Suspect,
-    /// Not refuted in time, or told so: final for its incarnation.
+    /// It did not refute in time here or at another member. Final for its incarnation.
     Dead,
-    /// Said goodbye itself: final for its generation.
+    /// It announced its own departure. Final for its generation.
     Left,
 }
 
 impl State {
-    /// The name in figures, lines and `/ops/members`.
+    /// The state's name in statistics, log lines and `/ops/members`.
     pub fn name(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -50,78 +51,83 @@
         }
     }
 
-    /// Alive or suspect: still counted among those that take part.
+    /// Alive or suspect, so it still counts as a participant.
     pub fn live(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// What gossip says of one member.
+/// One membership update in a datagram's gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Of whom.
+    /// The member that the update is about.
     pub id: Identity,
     /// Raised only by the member itself, to refute.
     pub incarnation: u32,
-    /// What it is said to be.
+    /// The reported state.
     pub state: State,
-    /// Of a suspicion: who suspects. Only confirmations by other accusers shorten its timeout (relays do not).
+    /// The member that raised a suspicion. Only confirmations by other accusers shorten the suspicion
+    /// timeout; relayed copies do not.
     pub accuser: Option<String>,
 }
 
-/// How the protocol is paced; the defaults are those of the best-known Go implementation's LAN profile, with a
-/// shorter period (see `docs/membership.md`).
+/// Timing and limits of the protocol. The defaults follow the LAN profile of the best-known Go
+/// implementation, with a shorter protocol period (see `docs/membership.md`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The protocol period: one probe each.
+    /// The protocol period; each sends one probe.
     pub probe_interval: Micros,
-    /// How long a direct probe waits for its ack before helpers are asked.
+    /// How long a direct probe waits for its ack before indirect probes are requested.
     pub probe_timeout: Micros,
-    /// Helpers asked to probe indirectly; also the confirmations that bring a suspicion to its shortest timeout.
-    pub indirect: usize,
-    /// The shortest suspicion timeout is `suspicion_multiplier * log10(n) * probe_interval`.
+    /// Number of helpers asked for an indirect probe; also the number of confirmations that reduces a
+    /// suspicion timeout to its minimum.
+    pub indirect_probes: usize,
+    /// The minimum suspicion timeout is `suspicion_multiplier * log10(n) * probe_interval`.
     pub suspicion_multiplier: f64,
-    /// The longest, without any confirmation, is this many times the shortest.
+    /// Ratio of the maximum suspicion timeout (no confirmation) to the minimum.
     pub suspicion_max_multiplier: f64,
-    /// Each change is sent `retransmit_multiplier * ceil(log10(n + 1))` times.
+    /// Each update is sent `retransmit_multiplier * ceil(log10(n + 1))` times.
     pub retransmit_multiplier: u32,
-    /// Members that get pure gossip each `gossip_interval`, besides the probes, while there is news.
+    /// Number of members that get a gossip-only datagram every `gossip_interval`, besides the probes, while
+    /// updates are pending.
     pub gossip_fanout: usize,
-    /// See above; the first news after a rest goes on at once.
+    /// Interval of the gossip-only datagrams. The first update after an idle time is sent at once.
     pub gossip_interval: Micros,
-    /// Lifeguard's local health: period and timeout grow up to `(health_max + 1)` times.
-    pub health_max: u32,
-    /// A whole view is exchanged with one other member this often.
+    /// Maximum of Lifeguard's local health score. Period and timeout grow up to `(max_local_health + 1)` times
+    /// their length.
+    pub max_local_health: u32,
+    /// Interval of the anti-entropy sync of the full state with one random member.
     pub sync_interval: Micros,
-    /// Dead and left members are remembered this long, so late gossip does not bring them back and a cut that heals
-    /// within it is found again.
+    /// How long dead and left members are remembered, so that late gossip does not revive them and a
+    /// partition that heals within this time is detected.
     pub reap_after: Micros,
-    /// A member held dead is pinged this often (one drawn), so that a healed cut is found.
+    /// Interval of the pings to one random dead member, which detect a healed partition.
     pub reconnect_interval: Micros,
-    /// Seeds are asked again after this long while no other member is known; it doubles to 16 times.
+    /// Initial interval of join requests to the seeds while no other member is known; it doubles up to 16
+    /// times.
     pub join_retry: Micros,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings::paced(Micros::from_ms(200.0))
+        Settings::with_probe_interval(Micros::from_ms(200.0))
     }
 }
 
 impl Settings {
-    /// With this protocol period, and what follows it in proportion.
-    pub fn paced(probe_interval: Micros) -> Self {
-        let half = Micros(probe_interval.0 / 2);
+    /// Settings for this protocol period; the probe timeout and the gossip interval are half of it.
+    pub fn with_probe_interval(probe_interval: Micros) -> Self {
+        let half_period = Micros(probe_interval.0 / 2);
         Settings {
             probe_interval,
-            probe_timeout: half,
-            indirect: 3,
+            probe_timeout: half_period,
+            indirect_probes: 3,
             suspicion_multiplier: 3.5,
             suspicion_max_multiplier: 6.0,
             retransmit_multiplier: 4,
             gossip_fanout: 2,
-            gossip_interval: half,
-            health_max: 8,
+            gossip_interval: half_period,
+            max_local_health: 8,
             sync_interval: Micros::from_ms(30_000.0),
             reap_after: Micros::from_ms(600_000.0),
             reconnect_interval: Micros::from_ms(1_000.0),
--- a/src/membership/protocol.rs
+++ b/src/membership/protocol.rs
@@ -1,8 +1,9 @@
-//! One member's side of the protocol: probes, helpers, suspicion, refutation, gossip and whole syncs.
+//! The protocol state machine of one member: probes, indirect probes, suspicion, refutation, gossip and
+//! anti-entropy syncs.
 //!
-//! The caller feeds datagrams with [`Node::receive`] and the passing of time with [`Node::tick`] (at
-//! [`Node::next_wake`] at the latest), and carries out the [`Output`]s. Nothing here walks over all members in a
-//! turn except a whole sync, which is bounded by `sync_interval` and is the protocol's point.
+//! The caller passes datagrams to [`Node::receive`], calls [`Node::tick`] at [`Node::next_wake`] at the
+//! latest, and carries out the [`Output`]s. Only a full sync walks over all members in one call;
+//! `sync_interval` bounds how often it runs.
 
 mod news;
 mod order;
@@ -13,9 +14,9 @@
 mod suspicion;
 mod view;
 
-use super::gossip::Broadcasts;
+use super::gossip::BroadcastQueue;
 use super::rules::{self, Belief};
-use super::wire::{self, Body, Dropped, Key, Packet, Writer};
+use super::wire::{self, Body, DropReason, Key, Packet, PacketWriter};
 use super::{Entry, Identity, Settings, State};
 use crate::maintenance::parts::Part;
 use crate::startup::ramp::Among;
@@ -23,45 +24,46 @@
 use crate::startup::{Edition, Holding};
 use crate::Micros;
 use order::ProbeOrder;
-use replay::Replay;
+use replay::ReplayWindow;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 use suspicion::Suspicion;
-pub use view::{Change, Seen, Stats, View};
+pub use view::{MemberCounts, MemberInfo, StateChange, Stats};
 
-/// What the caller carries out.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// One datagram.
+    /// Send one datagram.
     #[allow(missing_docs)]
     Send { to: SocketAddr, bytes: Vec<u8> },
-    /// A member's state changed in this view.
-    Changed(Change),
-    /// Another process, elsewhere, goes by this member's name.
-    Namesake(Identity),
-    /// This member goes on under another generation: the others remembered one as high.
-    Renewed(u64),
-    /// A live member says which list it holds.
-    Holds(SocketAddr, Holding),
-    /// A live member asks for pieces of the list: see [`Node::give`].
-    Asked(SocketAddr, Wanted),
-    /// A piece that was asked for.
+    /// The state of a member changed.
+    Changed(StateChange),
+    /// Another process at another address uses this member's name.
+    NameConflict(Identity),
+    /// This member changed to a higher generation, because the others remembered one at least as high as its
+    /// own.
+    GenerationRaised(u64),
+    /// A live member announces which endpoint list it holds.
+    ListAnnounced(SocketAddr, Holding),
+    /// A live member requests pieces of the endpoint list; answer with [`Node::send_list_piece`].
+    ListRequested(SocketAddr, Wanted),
+    /// A requested piece of the endpoint list arrived.
     #[allow(missing_docs)]
-    Piece { from: SocketAddr, edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
-    /// A live member, by its name, sends a part of a message on maintenance.
-    Part(String, Part),
+    ListPiece { from: SocketAddr, edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
+    /// A live member, identified by its name, sent a part of a maintenance message.
+    MaintenancePart(String, Part),
 }
 
-struct Member {
+struct MemberRecord {
     id: Identity,
     incarnation: u32,
     state: State,
     since: Micros,
     heard: Option<Micros>,
     suspicion: Option<Suspicion>,
-    /// In the probe order: live members are, dead ones leave it when next met there.
-    ordered: bool,
+    /// Whether it is in the probe order. A dead member stays there until the order reaches it.
+    in_probe_order: bool,
     last_sync_reply: Option<Micros>,
 }
 
@@ -78,74 +80,77 @@
     seq: u32,
     target: Identity,
     acked: bool,
-    nacks_expected: u64,
+    expected_nacks: u64,
     nacks: u64,
 }
 
-struct Relay {
+struct RelayedProbe {
     origin: SocketAddr,
     origin_seq: u32,
 }
 
-/// Sync replies to one peer: at most one in this share of the sync interval, so a flood of asks costs little.
-const SYNC_REPLY_SHARE: u64 = 8;
-/// Windows of sequence numbers kept for senders not (yet) members, at most; past it they are not remembered.
-const STRANGERS_MOST: usize = 256;
-/// Members known at most, the dead that are remembered among them.
-pub const MOST_MEMBERS: usize = 4_096;
-/// Draws of a live peer, at most: some of those drawn may be dead.
-const DRAWS_OF_A_PEER: usize = 4;
-/// A turn this many periods late means the process was stopped: its own probe tells nothing of the target.
-const STALL_PERIODS: u64 = 3;
+/// A peer gets at most this many sync replies per sync interval, so that a flood of requests costs little.
+const SYNC_REPLIES_PER_INTERVAL: u64 = 8;
+/// Maximum number of replay windows beyond one per known member, for senders that are not members (yet).
+/// Further senders get no window.
+const MAX_NON_MEMBER_WINDOWS: usize = 256;
+/// Maximum number of known members, including dead and left ones that are still remembered.
+pub const MAX_MEMBERS: usize = 4_096;
+/// Maximum number of random draws for a live peer, because a drawn member may be dead.
+const MAX_PEER_DRAWS: usize = 4;
+/// A tick that is late by more than this many periods means that the process was suspended. The result of its
+/// own pending probe is then meaningless.
+const STALL_THRESHOLD_PERIODS: u64 = 3;
 
-/// One member's protocol.
+/// The protocol state machine of the local member.
 pub struct Node {
     me: Identity,
     incarnation: u32,
     settings: Settings,
     cluster: String,
     key: Option<Key>,
-    writer: Writer,
-    /// Ordered by name so that the same seed and events give the same datagrams.
-    members: BTreeMap<String, Member>,
-    replays: HashMap<String, Replay>,
-    order: ProbeOrder,
-    /// Members held dead, to be asked now and then whether they are (a healed cut is found so, as in Serf).
-    dead: Vec<String>,
+    writer: PacketWriter,
+    /// Ordered by name so that the same seed and events produce the same datagrams.
+    members: BTreeMap<String, MemberRecord>,
+    replay_windows: HashMap<String, ReplayWindow>,
+    probe_order: ProbeOrder,
+    /// Members in state `Dead`, pinged occasionally to detect a healed partition, as in Serf.
+    dead_names: Vec<String>,
     next_reconnect: Micros,
     next_gossip: Micros,
-    /// Whoever is not known, or comes under an older generation, is answered from then on.
-    next_answer: Micros,
-    /// Who is at an address, as last learnt: seeds that nobody is at are asked again.
+    /// Earliest time of the next reply to an unknown sender or one with an older generation.
+    next_unknown_sender_reply: Micros,
+    /// Name of the member last known at each address. A seed address without a live member is contacted
+    /// again.
     addresses: HashMap<SocketAddr, String>,
     rng: fastrand::Rng,
-    broadcasts: Broadcasts,
+    broadcasts: BroadcastQueue,
     probe: Option<Probe>,
-    relays: HashMap<u32, Relay>,
+    relays: HashMap<u32, RelayedProbe>,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     next_period: Micros,
     next_sync: Micros,
-    /// When the next turn was due as the last one ended.
-    due_at: Option<Micros>,
-    health: u32,
+    /// When the next tick was due, as of the end of the last one.
+    tick_due: Option<Micros>,
+    local_health: u32,
     seq: u32,
     packet_seq: u64,
-    /// The moment of what is being done, for the age of the list in what is sent.
-    clock: Micros,
-    view: View,
+    /// Time of the current call, from which the age of the endpoint list in sent datagrams is computed.
+    now: Micros,
+    counts: MemberCounts,
     seeds: Vec<SocketAddr>,
     next_join: Micros,
-    join_tries: u32,
+    join_attempts: u32,
     left: bool,
-    /// The list that is held, and when discovery confirmed it.
-    list: Option<(Edition, u64, Option<Micros>)>,
-    /// Datagrams still to be gossiped for a new list.
-    list_news: u32,
+    /// The endpoint list that this member holds, and when discovery last confirmed it.
+    held_list: Option<(Edition, u64, Option<Micros>)>,
+    /// Gossip datagrams still to send for a new endpoint list.
+    list_gossip_left: u32,
     stats: Stats,
 }
 
 impl Node {
-    /// A member that starts at `now`, asks `seeds` to let it in, and draws its chances from `seed`.
+    /// Creates a member that starts at `now`, joins through `seeds` and seeds its random numbers with `seed`.
     pub fn new(
         me: Identity,
         cluster: &str,
@@ -155,9 +160,9 @@
         seed: u64,
         now: Micros,
     ) -> Self {
-        let writer = Writer::new(cluster, &me, key.clone());
+        let writer = PacketWriter::new(cluster, &me, key.clone());
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Members started together must not probe in step: the first period begins at a drawn moment.
+        // The first period begins at a random moment, so that members started together do not probe in step.
         let first = Micros(rng.u64(0..=settings.probe_interval.0));
         let next_reconnect = now.plus(Micros(rng.u64(0..=settings.reconnect_interval.0)));
         let seeds = seeds.into_iter().filter(|seed| *seed != me.address).collect();
@@ -171,77 +176,83 @@
             key,
             writer,
             members: BTreeMap::new(),
-            replays: HashMap::new(),
-            order: ProbeOrder::default(),
-            dead: Vec::new(),
+            replay_windows: HashMap::new(),
+            probe_order: ProbeOrder::default(),
+            dead_names: Vec::new(),
             next_reconnect,
             next_gossip: now,
-            next_answer: now,
+            next_unknown_sender_reply: now,
             addresses: HashMap::new(),
             rng,
-            broadcasts: Broadcasts::default(),
+            broadcasts: BroadcastQueue::default(),
             probe: None,
             relays: HashMap::new(),
             timers: BinaryHeap::new(),
-            due_at: None,
-            health: 0,
+            tick_due: None,
+            local_health: 0,
             seq: 0,
             packet_seq: 0,
-            clock: now,
-            view: View { alive: 1, ..View::default() },
+            now,
+            counts: MemberCounts { alive: 1, ..MemberCounts::default() },
             seeds,
             next_join: now,
-            join_tries: 0,
+            join_attempts: 0,
             left: false,
-            list: None,
-            list_news: 0,
+            held_list: None,
+            list_gossip_left: 0,
             stats: Stats::default(),
         }
     }
 
-    /// This member.
+    /// Identity of this member.
     pub fn me(&self) -> &Identity {
         &self.me
     }
 
-    /// This member's incarnation.
+    /// Incarnation of this member.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Counts by state, this member among the alive.
-    pub fn view(&self) -> View {
-        self.view
+    /// Number of members in each state; this member counts as alive.
+    pub fn counts(&self) -> MemberCounts {
+        self.counts
     }
 
-    /// Lifeguard's local health score: 0 is healthy; period and timeout are `(health + 1)` times as long.
+    /// Lifeguard's local health score: 0 is healthy. Period and timeout are `(health + 1)` times as long.
     pub fn health(&self) -> u32 {
-        self.health
+        self.local_health
     }
 
-    /// The list that is held from now on, told in the head of all that is sent, and when discovery confirmed it. A new one is
-    /// gossiped for, as news of a member is.
-    pub fn hold(&mut self, list: Option<(Edition, u64, Option<Micros>)>) {
-        let edition = |list: &Option<(Edition, u64, Option<Micros>)>| list.map(|list| list.0);
-        if edition(&list) != edition(&self.list) {
-            self.list_news = self.limit();
+    /// Sets the endpoint list that this member holds and when discovery last confirmed it. The head of each
+    /// datagram announces it; a new list triggers gossip, as a membership update does.
+    pub fn set_list(&mut self, list: Option<(Edition, u64, Option<Micros>)>) {
+        let edition_of = |list: &Option<(Edition, u64, Option<Micros>)>| list.map(|list| list.0);
+        if edition_of(&list) != edition_of(&self.held_list) {
+            self.list_gossip_left = self.retransmit_limit();
         }
-        self.list = list;
+        self.held_list = list;
     }
 
-    /// Asks a member for pieces of its list.
-    pub fn ask(&mut self, now: Micros, to: SocketAddr, wanted: Wanted, out: &mut Vec<Output>) {
-        self.clock = now;
-        self.send(to, Body::Ask(wanted), &[], out);
+    /// Requests pieces of the endpoint list from a member.
+    pub fn request_list_pieces(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        wanted: Wanted,
+        out: &mut Vec<Output>,
+    ) {
+        self.now = now;
+        self.send(to, Body::ListRequest(wanted), &[], out);
     }
 
-    /// Gives a member a piece of the list.
-    pub fn give(
+    /// Sends a member a piece of the endpoint list.
+    pub fn send_list_piece(
         &mut self,
         now: Micros,
         to: SocketAddr,
@@ -249,22 +260,22 @@
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) {
-        self.clock = now;
-        self.send(to, Body::Piece { edition, index, count, bytes: bytes.to_vec() }, &[], out);
+        self.now = now;
+        self.send(to, Body::ListPiece { edition, index, count, bytes: bytes.to_vec() }, &[], out);
     }
 
-    /// Sends a member a part of a message on maintenance; one that is not known hears nothing.
-    pub fn part(&mut self, now: Micros, name: &str, part: Part, out: &mut Vec<Output>) {
-        self.clock = now;
+    /// Sends a member a part of a maintenance message. Does nothing if the member is unknown.
+    pub fn send_maintenance_part(&mut self, now: Micros, name: &str, part: Part, out: &mut Vec<Output>) {
+        self.now = now;
         if let Some(address) = self.members.get(name).map(|member| member.id.address) {
-            self.send(address, Body::Part(part), &[], out);
+            self.send(address, Body::MaintenancePart(part), &[], out);
         }
     }
 
-    /// This member among the live ones whose generation, the clock at their start, is so high or higher (a walk, when the
-    /// view has changed).
-    pub fn among_started(&self, generation: u64) -> Among {
-        let started = |member: &&Member| member.state.live() && member.id.generation >= generation;
+    /// Rank of this member among the live members whose generation (the clock at their start) is `generation`
+    /// or higher. Walks over all members; called when the membership has changed.
+    pub fn rank_among_started(&self, generation: u64) -> Among {
+        let started = |member: &&MemberRecord| member.state.live() && member.id.generation >= generation;
         let (mut place, mut starting) = (0, 1);
         for member in self.members.values().filter(started) {
             starting += 1;
@@ -273,14 +284,14 @@
         Among { place, starting }
     }
 
-    /// The names of the live members beside this one (a walk, when the view has changed).
+    /// Names of the other live members. Walks over all members; called when the membership has changed.
     pub fn live_names(&self) -> impl Iterator<Item = &str> {
         self.members.values().filter(|member| member.state.live()).map(|member| member.id.name.as_str())
     }
 
-    /// Every member known (for `/ops/members`: a walk, on request only).
-    pub fn members(&self) -> impl Iterator<Item = Seen> + '_ {
-        self.members.values().map(|member| Seen {
+    /// All known members, for `/ops/members`. Walks over all members; called on request only.
+    pub fn members(&self) -> impl Iterator<Item = MemberInfo> + '_ {
+        self.members.values().map(|member| MemberInfo {
             id: member.id.clone(),
             incarnation: member.incarnation,
             state: member.state,
@@ -289,60 +300,61 @@
         })
     }
 
-    /// The state of one member by name, if known.
+    /// Generation, incarnation and state of a member, if it is known.
     pub fn state_of(&self, name: &str) -> Option<(u64, u32, State)> {
         self.members.get(name).map(|member| (member.id.generation, member.incarnation, member.state))
     }
 
-    /// When [`Node::tick`] is due at the latest.
+    /// The latest time for the next call of [`Node::tick`].
     pub fn next_wake(&self) -> Micros {
         let mut wake = self.next_period.min(self.next_sync);
-        if !self.left && (!self.dead.is_empty() || !self.seeds.is_empty()) {
+        if !self.left && (!self.dead_names.is_empty() || !self.seeds.is_empty()) {
             wake = wake.min(self.next_reconnect);
         }
-        if !self.left && (self.broadcasts.len() > 0 || self.list_news > 0) {
+        if !self.left && (self.broadcasts.len() > 0 || self.list_gossip_left > 0) {
             wake = wake.min(self.next_gossip);
         }
         if let Some(Reverse((at, _))) = self.timers.peek() {
             wake = wake.min(*at);
         }
-        if self.joining() {
+        if self.is_joining() {
             wake = wake.min(self.next_join);
         }
         wake
     }
 
-    fn joining(&self) -> bool {
-        !self.left && !self.seeds.is_empty() && self.view.live() <= 1
+    fn is_joining(&self) -> bool {
+        !self.left && !self.seeds.is_empty() && self.counts.live() <= 1
     }
 
-    fn scaled(&self, length: Micros) -> Micros {
-        Micros(length.0.saturating_mul(u64::from(self.health) + 1))
+    fn scale_by_health(&self, interval: Micros) -> Micros {
+        Micros(interval.0.saturating_mul(u64::from(self.local_health) + 1))
     }
 
-    fn limit(&self) -> u32 {
-        let n = self.view.live() as f64 + 1.0;
-        // In a small fleet a few lost datagrams would be all of them: two rounds at least.
+    fn retransmit_limit(&self) -> u32 {
+        let n = self.counts.live() as f64 + 1.0;
+        // In a small fleet a few lost datagrams could be all copies, so the logarithm counts as 2 at least.
         self.settings.retransmit_multiplier * (n.log10().ceil() as u32).max(2)
     }
 
-    /// Time passes: timers, the protocol period, syncs and joining.
+    /// Runs what is due: timers, the protocol period, syncs, gossip and joining.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.clock = now;
-        if let Some(due) = self.due_at {
-            // `due_at` is when this turn was due: later than that by periods means we were not run.
-            if now.minus(due).0 > STALL_PERIODS * self.settings.probe_interval.0 {
-                // This process was not scheduled (SIGSTOP, a swapped machine): what timed out meanwhile says
-                // nothing of the others. Its probe is dropped unfailed; its own health takes the blame.
+        self.now = now;
+        if let Some(due) = self.tick_due {
+            // A tick that comes several periods after `tick_due` means that the process was not running.
+            if now.minus(due).0 > STALL_THRESHOLD_PERIODS * self.settings.probe_interval.0 {
+                // The process was not scheduled (SIGSTOP, a swapping machine), so timeouts that expired
+                // meanwhile prove nothing about other members. Drops the pending probe without a failure and
+                // worsens the local health score instead.
                 self.stats.stalls += 1;
                 self.probe = None;
                 self.timers.retain(|Reverse((_, timer))| {
                     !matches!(timer, Timer::ProbeTimeout(_) | Timer::ProbeEnd(_))
                 });
-                self.health = (self.health + 1).min(self.settings.health_max);
+                self.local_health = (self.local_health + 1).min(self.settings.max_local_health);
                 self.next_period = now;
-                // Nor did the doubted have time to be heard: their refutations may still be in the socket, or lost
-                // with it. Cost: the members, after a stall alone.
+                // Suspects had no time to be heard either: their refutations may still be in the socket's
+                // buffer, or be lost with it. This walks over all members, after a stall only.
                 let missed = now.minus(due);
                 for suspicion in self.members.values_mut().filter_map(|member| member.suspicion.as_mut()) {
                     suspicion.extend(missed);
@@ -354,71 +366,73 @@
                 break;
             }
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
-            self.fire(now, timer, out);
+            self.on_timer(now, timer, out);
         }
         if self.left {
             if now >= self.next_period {
                 self.next_period = now.plus(self.settings.probe_interval);
-                self.farewell(out);
+                self.send_leave(out);
             }
-            self.due_at = Some(self.next_wake());
+            self.tick_due = Some(self.next_wake());
             return;
         }
         if now >= self.next_period {
-            self.period(now, out);
-            self.next_period = now.plus(self.scaled(self.settings.probe_interval));
+            self.start_probe(now, out);
+            self.next_period = now.plus(self.scale_by_health(self.settings.probe_interval));
         }
         if now >= self.next_sync {
             let interval = self.settings.sync_interval.0;
             self.next_sync = now.plus(Micros(self.rng.u64(interval * 3 / 4..=interval * 5 / 4)));
-            if let Some(peer) = self.random_live(None) {
-                self.send_view(peer, true, out);
+            if let Some(peer) = self.random_live_address(None) {
+                self.send_full_state(peer, true, out);
             }
         }
         if now >= self.next_reconnect {
             let interval = self.settings.reconnect_interval.0;
             self.next_reconnect = now.plus(Micros(self.rng.u64(interval / 2..=interval * 3 / 2)));
-            self.reconnect(out);
-            self.ask_a_seed(out);
+            self.ping_dead_member(out);
+            self.contact_absent_seed(out);
         }
-        if (self.broadcasts.len() > 0 || self.list_news > 0) && now >= self.next_gossip {
+        if (self.broadcasts.len() > 0 || self.list_gossip_left > 0) && now >= self.next_gossip {
             self.next_gossip = now.plus(self.settings.gossip_interval);
             for _ in 0..self.settings.gossip_fanout {
-                if let Some(peer) = self.random_live(None) {
-                    self.list_news = self.list_news.saturating_sub(1);
+                if let Some(peer) = self.random_live_address(None) {
+                    self.list_gossip_left = self.list_gossip_left.saturating_sub(1);
                     self.send(peer, Body::Gossip, &[], out);
                 }
             }
         }
-        if self.joining() && now >= self.next_join {
-            self.join_tries += 1;
-            let back = self.settings.join_retry.0 << self.join_tries.min(5).saturating_sub(1);
-            // At least half the bound, so that a seed that is down is not asked in a loop; the rest drawn.
-            self.next_join = now.plus(Micros(self.rng.u64(back / 2..=back)));
+        if self.is_joining() && now >= self.next_join {
+            self.join_attempts += 1;
+            let backoff = self.settings.join_retry.0 << self.join_attempts.min(5).saturating_sub(1);
+            // Waits at least half the backoff, so that a seed that is down is not contacted in a tight loop;
+            // the other half is random.
+            self.next_join = now.plus(Micros(self.rng.u64(backoff / 2..=backoff)));
             let own = self.own_entry();
             for seed in self.seeds.clone() {
                 self.send(seed, Body::Sync { reply: true, last: true }, std::slice::from_ref(&own), out);
             }
         }
-        self.due_at = Some(self.next_wake());
+        self.tick_due = Some(self.next_wake());
     }
 
-    /// Says goodbye: the others hear it in gossip and hold this member as left, not dead.
+    /// Announces that this member leaves. The others learn it by gossip and mark it as left, not dead.
     pub fn leave(&mut self, out: &mut Vec<Output>) {
         if self.left {
             return;
         }
         self.left = true;
         for _ in 0..2 {
-            self.farewell(out);
+            self.send_leave(out);
         }
     }
 
-    /// The goodbye, to some: again each period while the process runs on, as each of them may be lost.
-    fn farewell(&mut self, out: &mut Vec<Output>) {
+    /// Sends the leave announcement to a few members. It is repeated each period while the process runs,
+    /// because datagrams may be lost.
+    fn send_leave(&mut self, out: &mut Vec<Output>) {
         let own = self.own_entry();
         for _ in 0..self.settings.gossip_fanout.max(1) {
-            if let Some(peer) = self.random_live(None) {
+            if let Some(peer) = self.random_live_address(None) {
                 self.send(peer, Body::Gossip, std::slice::from_ref(&own), out);
             }
         }
--- a/src/membership/protocol/news.rs
+++ b/src/membership/protocol/news.rs
@@ -1,9 +1,9 @@
-//! What is told of members, and what it changes in this view.
+//! Membership updates and their effect on this member's state.
 
 use super::*;
 
 impl Node {
-    /// What gossip, a sync or our own probe says of a member.
+    /// Applies an update about a member that came by gossip, by a sync or from this member's own probe.
     pub(super) fn apply(
         &mut self,
         now: Micros,
@@ -13,10 +13,10 @@
         out: &mut Vec<Output>,
     ) {
         if entry.id.name == self.me.name {
-            return self.about_me(entry, out);
+            return self.handle_own_entry(entry, out);
         }
         let Some(member) = self.members.get_mut(&entry.id.name) else {
-            return self.learn(now, entry, from, cause, out);
+            return self.add_member(now, entry, from, cause, out);
         };
         if entry.id.generation < member.id.generation {
             return;
@@ -26,7 +26,7 @@
             let (old_state, old_incarnation) = (member.state, member.incarnation);
             if old_state.live() {
                 self.stats.dead += 1;
-                out.push(Output::Changed(Change {
+                out.push(Output::Changed(StateChange {
                     id: old,
                     incarnation: old_incarnation,
                     from: Some(old_state),
@@ -34,14 +34,14 @@
                     cause: "restarted",
                 }));
             }
-            return self.learn(now, entry, from, cause, out);
+            return self.add_member(now, entry, from, cause, out);
         }
         let before = member.state;
-        let held = Belief { incarnation: member.incarnation, state: before };
-        let told = Belief { incarnation: entry.incarnation, state: entry.state };
-        if !rules::supersedes(held, told) {
-            if held == told && told.state == State::Suspect {
-                self.confirm(entry);
+        let recorded = Belief { incarnation: member.incarnation, state: before };
+        let update = Belief { incarnation: entry.incarnation, state: entry.state };
+        if !rules::supersedes(recorded, update) {
+            if recorded == update && update.state == State::Suspect {
+                self.confirm_suspicion(entry);
             }
             return;
         }
@@ -55,12 +55,12 @@
         member.since = now;
         let id = member.id.clone();
         let incarnation = member.incarnation;
-        let reorder = next.live() && !member.ordered;
-        if reorder {
-            member.ordered = true;
+        let joins_probe_order = next.live() && !member.in_probe_order;
+        if joins_probe_order {
+            member.in_probe_order = true;
         }
         if next == State::Suspect {
-            self.suspect(now, entry, from);
+            self.start_suspicion(now, entry, from);
             self.stats.suspicions += 1;
         }
         if !next.live() && next != before {
@@ -71,28 +71,28 @@
             match next {
                 State::Dead => {
                     self.stats.dead += 1;
-                    self.dead.push(id.name.clone());
+                    self.dead_names.push(id.name.clone());
                 }
                 _ => self.stats.left += 1,
             }
         }
-        if reorder {
-            self.order.insert(id.name.clone(), &mut self.rng);
+        if joins_probe_order {
+            self.probe_order.insert(id.name.clone(), &mut self.rng);
         }
-        self.view.count(Some(before), Some(next));
+        self.counts.record_transition(Some(before), Some(next));
         let accuser = if next == State::Suspect { entry.accuser.clone() } else { None };
         self.broadcasts.push(Entry { id: id.clone(), incarnation, state: next, accuser });
         if before != next {
             let cause = if before == State::Suspect && next == State::Alive { "refuted" } else { cause };
-            out.push(Output::Changed(Change { id, incarnation, from: Some(before), to: next, cause }));
+            out.push(Output::Changed(StateChange { id, incarnation, from: Some(before), to: next, cause }));
         }
     }
 
-    /// The time begins that a known member has to refute a suspicion; it was heard from `from`.
-    fn suspect(&mut self, now: Micros, entry: &Entry, from: &str) {
+    /// Starts the suspicion timeout of a known member. `from` is the accuser if the entry names none.
+    fn start_suspicion(&mut self, now: Micros, entry: &Entry, from: &str) {
         let Some(member) = self.members.get_mut(&entry.id.name) else { return };
         let accuser = entry.accuser.as_deref().unwrap_or(from);
-        let suspicion = Suspicion::new(now, accuser, self.view.live(), &self.settings);
+        let suspicion = Suspicion::new(now, accuser, self.counts.live(), &self.settings);
         let timer = Timer::Suspicion {
             name: entry.id.name.clone(),
             generation: entry.id.generation,
@@ -102,8 +102,9 @@
         member.suspicion = Some(suspicion);
     }
 
-    /// Another member's own suspicion shortens the timeout (Lifeguard); a repeat does not.
-    pub(super) fn confirm(&mut self, entry: &Entry) {
+    /// Shortens the suspicion timeout for an independent accuser (Lifeguard). A repeated accusation has no
+    /// effect.
+    pub(super) fn confirm_suspicion(&mut self, entry: &Entry) {
         let Some(member) = self.members.get_mut(&entry.id.name) else { return };
         let (Some(suspicion), Some(accuser)) = (member.suspicion.as_mut(), entry.accuser.as_deref()) else {
             return;
@@ -120,9 +121,10 @@
         self.broadcasts.push(entry.clone());
     }
 
-    /// A member not known before, or a new generation of one, which takes the place of the old one (in the probe order too: a
-    /// second place there would draw probes and news away from the others with each restart).
-    pub(super) fn learn(
+    /// Adds an unknown member, or a new generation that replaces the old one. The new generation also takes
+    /// over the old one's entry in the probe order: a second entry would, with each restart, draw probes and
+    /// gossip away from the other members.
+    pub(super) fn add_member(
         &mut self,
         now: Micros,
         entry: &Entry,
@@ -131,43 +133,43 @@
         out: &mut Vec<Output>,
     ) {
         let replaced = self.members.remove(&entry.id.name);
-        if replaced.is_none() && self.members.len() >= MOST_MEMBERS {
+        if replaced.is_none() && self.members.len() >= MAX_MEMBERS {
             self.stats.overflow += 1;
             return;
         }
-        let ordered = replaced.as_ref().is_some_and(|member| member.ordered);
-        self.view.count(replaced.map(|member| member.state), None);
+        let in_probe_order = replaced.as_ref().is_some_and(|member| member.in_probe_order);
+        self.counts.record_transition(replaced.map(|member| member.state), None);
         let live = entry.state.live();
         self.addresses.insert(entry.id.address, entry.id.name.clone());
-        let member = Member {
+        let member = MemberRecord {
             id: entry.id.clone(),
             incarnation: entry.incarnation,
             state: entry.state,
             since: now,
             heard: None,
             suspicion: None,
-            ordered: live || ordered,
+            in_probe_order: live || in_probe_order,
             last_sync_reply: None,
         };
         self.members.insert(entry.id.name.clone(), member);
-        self.view.count(None, Some(entry.state));
+        self.counts.record_transition(None, Some(entry.state));
         if !live {
-            // Only remembered, so that older gossip does not bring it back; nobody needs telling.
+            // Only remembered, so that older gossip does not revive the member; it is not announced.
             self.timers.push(Reverse((
                 now.plus(self.settings.reap_after),
                 Timer::Reap { name: entry.id.name.clone(), generation: entry.id.generation },
             )));
             return;
         }
-        if !ordered {
-            self.order.insert(entry.id.name.clone(), &mut self.rng);
+        if !in_probe_order {
+            self.probe_order.insert(entry.id.name.clone(), &mut self.rng);
         }
         if entry.state == State::Suspect {
-            self.suspect(now, entry, from);
+            self.start_suspicion(now, entry, from);
         }
         self.stats.joined += 1;
         self.broadcasts.push(entry.clone());
-        out.push(Output::Changed(Change {
+        out.push(Output::Changed(StateChange {
             id: entry.id.clone(),
             incarnation: entry.incarnation,
             from: None,
@@ -176,39 +178,40 @@
         }));
     }
 
-    /// News of ourselves: doubt is refuted with a higher incarnation, told to all. A generation as high as ours or higher
-    /// at our own address is an earlier start of ours (the clock went back), or a goodbye that was not ours: we go on above
-    /// it. At another address it is somebody else of our name.
-    pub(super) fn about_me(&mut self, entry: &Entry, out: &mut Vec<Output>) {
+    /// Handles an update about this member. A suspicion or death is refuted with a higher incarnation, which
+    /// is gossiped. An equal or higher generation at this member's own address comes from an earlier start of
+    /// it (the clock went back) or from a leave announcement that it did not send: it continues with a higher
+    /// generation. At another address it is another process with the same name.
+    pub(super) fn handle_own_entry(&mut self, entry: &Entry, out: &mut Vec<Output>) {
         if entry.id.generation < self.me.generation || self.left {
             return;
         }
         if entry.id.address != self.me.address {
-            out.push(Output::Namesake(entry.id.clone()));
+            out.push(Output::NameConflict(entry.id.clone()));
             return;
         }
         if entry.id.generation > self.me.generation || entry.state == State::Left {
             self.me.generation = entry.id.generation.saturating_add(1);
             self.incarnation = 0;
-            self.writer = Writer::new(&self.cluster, &self.me, self.key.clone());
+            self.writer = PacketWriter::new(&self.cluster, &self.me, self.key.clone());
             self.broadcasts.push(self.own_entry());
-            out.push(Output::Renewed(self.me.generation));
+            out.push(Output::GenerationRaised(self.me.generation));
             return;
         }
-        let told = Belief { incarnation: entry.incarnation, state: entry.state };
-        if let Some(incarnation) = rules::refutes(self.incarnation, told) {
+        let update = Belief { incarnation: entry.incarnation, state: entry.state };
+        if let Some(incarnation) = rules::refuting_incarnation(self.incarnation, update) {
             self.incarnation = incarnation;
-            if told.state != State::Alive {
+            if update.state != State::Alive {
                 self.stats.refuted_self += 1;
-                // Lifeguard: being doubted is a sign of our own slowness as much as of the others'.
-                self.health = (self.health + 1).min(self.settings.health_max);
+                // Lifeguard: a suspicion may be caused by this member being slow as much as by the others.
+                self.local_health = (self.local_health + 1).min(self.settings.max_local_health);
             }
             let own = self.own_entry();
             self.broadcasts.push(own.clone());
-            // Whoever accuses us is told at once, not by chance.
+            // The accuser gets the refutation at once, not by random gossip.
             let accuser = entry.accuser.as_ref().and_then(|name| self.members.get(name));
-            if let Some(at) = accuser.map(|member| member.id.address) {
-                self.send(at, Body::Gossip, &[own], out);
+            if let Some(address) = accuser.map(|member| member.id.address) {
+                self.send(address, Body::Gossip, &[own], out);
             }
         }
     }
--- a/src/membership/protocol/order.rs
+++ b/src/membership/protocol/order.rs
@@ -1,18 +1,20 @@
-//! The order in which live members are probed: a Fisher-Yates shuffle drawn one step a probe, so that each is probed once a
-//! round and each round is a new order.
+//! The order in which live members are probed: an incremental Fisher-Yates shuffle with one step per probe.
+//! Each member is probed once per round, and each round has a new order.
 
 use fastrand::Rng;
 
-/// See the module's text. Each member has one place at most; who is no longer live leaves when its place is met.
+/// The shuffled probe order (see the module documentation). A member has at most one entry. The entry of a
+/// member that is no longer live is removed when the order reaches it.
 #[derive(Default)]
 pub(super) struct ProbeOrder {
     names: Vec<String>,
-    /// Those before it were probed in this round.
+    /// Members before this index were already probed in this round.
     cursor: usize,
 }
 
 impl ProbeOrder {
-    /// Puts a member at a drawn place of the rest of this round, so that newcomers are probed soon but not first.
+    /// Inserts a member at a random position of the rest of this round, so that new members are probed soon
+    /// but not first.
     pub(super) fn insert(&mut self, name: String, random: &mut Rng) {
         self.names.push(name);
         let last = self.names.len() - 1;
@@ -20,11 +22,12 @@
         self.names.swap(at, last);
     }
 
-    /// Takes out a member before its place is met (a walk).
+    /// Removes a member before the order reaches it. Scans all entries.
     pub(super) fn remove(&mut self, name: &str) {
         let Some(mut at) = self.names.iter().position(|other| other == name) else { return };
         if at < self.cursor {
-            // The last one that had its turn goes to the free place, so that all behind the cursor still have theirs.
+            // Fills the gap with the last member already probed, so that all members after the cursor keep
+            // their turn in this round.
             self.cursor -= 1;
             self.names.swap(at, self.cursor);
             at = self.cursor;
@@ -32,8 +35,8 @@
         self.names.swap_remove(at);
     }
 
-    /// The next one that takes part; those that `stays` does not hold for leave.
-    pub(super) fn next(&mut self, random: &mut Rng, mut stays: impl FnMut(&str) -> bool) -> Option<String> {
+    /// The next member for which `is_live` holds. Members for which it does not hold are removed.
+    pub(super) fn next(&mut self, random: &mut Rng, mut is_live: impl FnMut(&str) -> bool) -> Option<String> {
         while !self.names.is_empty() {
             if self.cursor >= self.names.len() {
                 self.cursor = 0;
@@ -41,7 +44,7 @@
             let pick = random.usize(self.cursor..self.names.len());
             self.names.swap(self.cursor, pick);
             let name = &self.names[self.cursor];
-            if stays(name) {
+            if is_live(name) {
                 self.cursor += 1;
                 return Some(name.clone());
             }
@@ -50,14 +53,14 @@
         None
     }
 
-    /// One of them, drawn.
-    pub(super) fn draw(&self, random: &mut Rng) -> Option<&str> {
+    /// A random member of the order.
+    pub(super) fn random_name(&self, random: &mut Rng) -> Option<&str> {
         (!self.names.is_empty()).then(|| self.names[random.usize(..self.names.len())].as_str())
     }
 
-    /// How often a member stands in it.
+    /// Number of entries of a member.
     #[cfg(test)]
-    pub(super) fn places_of(&self, name: &str) -> usize {
+    pub(super) fn entry_count(&self, name: &str) -> usize {
         self.names.iter().filter(|other| *other == name).count()
     }
 }
--- a/src/membership/protocol/probing.rs
+++ b/src/membership/protocol/probing.rs
@@ -1,22 +1,22 @@
-//! Probes, their helpers and time-outs, and who is probed next.
+//! Probes, indirect probes, timeouts, and the choice of the next probe target.
 
 use super::*;
 
 impl Node {
-    pub(super) fn fire(&mut self, now: Micros, timer: Timer, out: &mut Vec<Output>) {
+    pub(super) fn on_timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::ProbeTimeout(seq) => {
                 let Some(probe) = self.probe.as_ref().filter(|probe| probe.seq == seq && !probe.acked) else {
                     return;
                 };
                 let target = probe.target.clone();
-                let mut asked = 0u64;
+                let mut requested = 0u64;
                 let mut helpers: Vec<SocketAddr> = Vec::new();
-                for _ in 0..self.settings.indirect * 3 {
-                    if helpers.len() >= self.settings.indirect {
+                for _ in 0..self.settings.indirect_probes * 3 {
+                    if helpers.len() >= self.settings.indirect_probes {
                         break;
                     }
-                    if let Some(helper) = self.random_live(Some(&target.name)) {
+                    if let Some(helper) = self.random_live_address(Some(&target.name)) {
                         if !helpers.contains(&helper) {
                             helpers.push(helper);
                         }
@@ -24,11 +24,11 @@
                 }
                 for helper in helpers {
                     self.send(helper, Body::PingReq { seq, target: target.clone() }, &[], out);
-                    asked += 1;
+                    requested += 1;
                 }
-                self.stats.indirect += asked;
+                self.stats.indirect += requested;
                 if let Some(probe) = self.probe.as_mut() {
-                    probe.nacks_expected = asked;
+                    probe.expected_nacks = requested;
                 }
             }
             Timer::ProbeEnd(seq) => {
@@ -36,15 +36,17 @@
                 if probe.acked {
                     return;
                 }
-                // Lifeguard: helpers that did not even nack point at our own links, not the target's.
-                let blame = if probe.nacks_expected > 0 {
-                    probe.nacks_expected.saturating_sub(probe.nacks)
+                // Lifeguard: missing nacks from helpers indicate a problem with this member's own links, not
+                // the target's.
+                let penalty = if probe.expected_nacks > 0 {
+                    probe.expected_nacks.saturating_sub(probe.nacks)
                 } else {
                     1
                 };
-                self.health = (self.health + blame as u32).min(self.settings.health_max);
+                self.local_health = (self.local_health + penalty as u32).min(self.settings.max_local_health);
                 if let Some(member) = self.members.get(&probe.target.name) {
-                    // Already suspect: our own failed probe is one more independent confirmation (Lifeguard).
+                    // If the target is suspect already, this failed probe is one more independent
+                    // confirmation (Lifeguard).
                     if member.id.generation == probe.target.generation && member.state.live() {
                         let entry = Entry {
                             id: member.id.clone(),
@@ -85,23 +87,23 @@
                 });
                 if due {
                     if let Some(member) = self.members.remove(&name) {
-                        self.view.count(Some(member.state), None);
-                        if member.ordered {
-                            self.order.remove(&name);
+                        self.counts.record_transition(Some(member.state), None);
+                        if member.in_probe_order {
+                            self.probe_order.remove(&name);
                         }
                         if self.addresses.get(&member.id.address) == Some(&name) {
                             self.addresses.remove(&member.id.address);
                         }
                     }
-                    self.replays.remove(&name);
+                    self.replay_windows.remove(&name);
                 }
             }
         }
     }
 
-    /// One protocol period: probe the next member in the shuffled order.
-    pub(super) fn period(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if let Some(name) = self.next_target() {
+    /// Runs one protocol period: probes the next member of the shuffled order.
+    pub(super) fn start_probe(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if let Some(name) = self.next_probe_target() {
             let member = &self.members[&name];
             let target = member.id.clone();
             let suspected = member.state == State::Suspect;
@@ -109,41 +111,43 @@
             let seq = self.seq;
             self.stats.probes += 1;
             self.probe =
-                Some(Probe { seq, target: target.clone(), acked: false, nacks_expected: 0, nacks: 0 });
+                Some(Probe { seq, target: target.clone(), acked: false, expected_nacks: 0, nacks: 0 });
             self.timers.push(Reverse((
-                now.plus(self.scaled(self.settings.probe_timeout)),
+                now.plus(self.scale_by_health(self.settings.probe_timeout)),
                 Timer::ProbeTimeout(seq),
             )));
-            self.timers
-                .push(Reverse((now.plus(self.scaled(self.settings.probe_interval)), Timer::ProbeEnd(seq))));
+            self.timers.push(Reverse((
+                now.plus(self.scale_by_health(self.settings.probe_interval)),
+                Timer::ProbeEnd(seq),
+            )));
             let address = target.address;
-            let notice = self.notice(&target);
+            let notice = self.buddy_notice(&target);
             self.send(address, Body::Ping { seq, target, suspected }, &notice, out);
         }
     }
 
-    /// The next live member of the round.
-    pub(super) fn next_target(&mut self) -> Option<String> {
+    /// The next live member of the current probe round.
+    pub(super) fn next_probe_target(&mut self) -> Option<String> {
         let members = &mut self.members;
-        self.order.next(&mut self.rng, |name| {
+        self.probe_order.next(&mut self.rng, |name| {
             let Some(member) = members.get_mut(name) else { return false };
-            member.ordered = member.state.live();
-            member.ordered
+            member.in_probe_order = member.state.live();
+            member.in_probe_order
         })
     }
 
-    /// Pings one member held dead, drawn: where it lives after all (a cut healed, a stall ended), its answer and
-    /// the notice that rides on the ping bring both sides back; a member truly gone costs one datagram.
-    pub(super) fn reconnect(&mut self, out: &mut Vec<Output>) {
-        while !self.dead.is_empty() {
-            let at = self.rng.usize(..self.dead.len());
-            let member = self.members.get(&self.dead[at]).filter(|member| member.state == State::Dead);
+    /// Pings one random dead member. If it is alive after all (a partition healed, a stall ended), its ack
+    /// and the buddy notice on the ping let both sides recover; if it is gone, this costs one datagram.
+    pub(super) fn ping_dead_member(&mut self, out: &mut Vec<Output>) {
+        while !self.dead_names.is_empty() {
+            let at = self.rng.usize(..self.dead_names.len());
+            let member = self.members.get(&self.dead_names[at]).filter(|member| member.state == State::Dead);
             let Some(member) = member else {
-                self.dead.swap_remove(at);
+                self.dead_names.swap_remove(at);
                 continue;
             };
             let target = member.id.clone();
-            let notice = self.notice(&target);
+            let notice = self.buddy_notice(&target);
             self.seq = self.seq.wrapping_add(1);
             let seq = self.seq;
             self.send(target.address, Body::Ping { seq, target, suspected: false }, &notice, out);
@@ -151,12 +155,12 @@
         }
     }
 
-    /// A live member other than `but`, drawn; `None` where a few draws find none.
-    pub(super) fn random_live(&mut self, but: Option<&str>) -> Option<SocketAddr> {
-        for _ in 0..DRAWS_OF_A_PEER {
-            let name = self.order.draw(&mut self.rng)?;
+    /// Address of a random live member other than `excluded`; `None` if a few draws find none.
+    pub(super) fn random_live_address(&mut self, excluded: Option<&str>) -> Option<SocketAddr> {
+        for _ in 0..MAX_PEER_DRAWS {
+            let name = self.probe_order.random_name(&mut self.rng)?;
             let member = self.members.get(name).filter(|member| member.state.live());
-            if let Some(member) = member.filter(|_| but != Some(name)) {
+            if let Some(member) = member.filter(|_| excluded != Some(name)) {
                 return Some(member.id.address);
             }
         }
--- a/src/membership/protocol/replay.rs
+++ b/src/membership/protocol/replay.rs
@@ -1,42 +1,44 @@
-//! Protection against repeated datagrams.
+//! Protection against replayed datagrams.
 
-use super::super::wire::Dropped;
+use super::super::wire::DropReason;
 
-/// Sequence numbers seen of one sender's generation: the highest and a window of 64 below it.
+/// Packet sequence numbers received from one generation of a sender: the highest and a window of 64 numbers
+/// that ends with it.
 #[derive(Clone, Copy)]
-pub(super) struct Replay {
+pub(super) struct ReplayWindow {
     generation: u64,
-    top: u64,
-    seen: u64,
+    highest: u64,
+    /// Bit `n` is set if the number `highest - n` was received.
+    received: u64,
 }
 
-impl Replay {
-    /// A sender's first datagram.
-    pub(super) fn first(generation: u64, seq: u64) -> Replay {
-        Replay { generation, top: seq, seen: 1 }
+impl ReplayWindow {
+    /// A window that starts with the sender's first datagram.
+    pub(super) fn starting_at(generation: u64, seq: u64) -> ReplayWindow {
+        ReplayWindow { generation, highest: seq, received: 1 }
     }
 
-    /// Takes a datagram, unless it is of an older generation or was seen before.
-    pub(super) fn accept(&mut self, generation: u64, seq: u64) -> Result<(), Dropped> {
+    /// Records a datagram, unless its generation is older or its sequence number was received before.
+    pub(super) fn accept(&mut self, generation: u64, seq: u64) -> Result<(), DropReason> {
         if generation < self.generation {
-            return Err(Dropped::Stale);
+            return Err(DropReason::Stale);
         }
         if generation > self.generation {
-            *self = Replay::first(generation, seq);
+            *self = ReplayWindow::starting_at(generation, seq);
             return Ok(());
         }
-        if seq > self.top {
-            let shift = seq - self.top;
-            self.seen = if shift >= 64 { 1 } else { (self.seen << shift) | 1 };
-            self.top = seq;
+        if seq > self.highest {
+            let shift = seq - self.highest;
+            self.received = if shift >= 64 { 1 } else { (self.received << shift) | 1 };
+            self.highest = seq;
             return Ok(());
         }
-        let back = self.top - seq;
-        let bit = 1u64.checked_shl(back as u32).filter(|_| back < 64).ok_or(Dropped::Replayed)?;
-        if self.seen & bit != 0 {
-            return Err(Dropped::Replayed);
+        let distance = self.highest - seq;
+        let bit = 1u64.checked_shl(distance as u32).filter(|_| distance < 64).ok_or(DropReason::Replayed)?;
+        if self.received & bit != 0 {
+            return Err(DropReason::Replayed);
         }
-        self.seen |= bit;
+        self.received |= bit;
         Ok(())
     }
 }
--- a/src/membership/protocol/sending.rs
+++ b/src/membership/protocol/sending.rs
@@ -1,25 +1,26 @@
-//! Datagrams that go: news that rides on them, notices of doubt, whole views.
+//! Sent datagrams: piggybacked updates, buddy notices and full-state syncs.
 
 use super::*;
 
 impl Node {
-    /// A seed that no live member is at: it was down, or formed a cluster of its own meanwhile.
-    pub(super) fn ask_a_seed(&mut self, out: &mut Vec<Output>) {
-        if self.seeds.is_empty() || self.joining() {
+    /// Contacts a random seed address that has no live member: the seed was down, or formed a cluster of its
+    /// own meanwhile.
+    pub(super) fn contact_absent_seed(&mut self, out: &mut Vec<Output>) {
+        if self.seeds.is_empty() || self.is_joining() {
             return;
         }
         let seed = self.seeds[self.rng.usize(..self.seeds.len())];
-        let there = self.addresses.get(&seed).and_then(|name| self.members.get(name));
-        if there.is_some_and(|member| member.id.address == seed && member.state.live()) {
+        let known = self.addresses.get(&seed).and_then(|name| self.members.get(name));
+        if known.is_some_and(|member| member.id.address == seed && member.state.live()) {
             return;
         }
         let own = self.own_entry();
         self.send(seed, Body::Sync { reply: true, last: true }, std::slice::from_ref(&own), out);
     }
 
-    /// What a member held suspect or dead is told first in whatever it is sent, so that it can refute at once
-    /// (Lifeguard's buddy notice, also for a member declared dead that still probes).
-    pub(super) fn notice(&self, to: &Identity) -> Vec<Entry> {
+    /// Lifeguard's buddy notice: each ping or ack to a suspect starts with the suspicion, so that it can
+    /// refute at once. Sent also to a member that was declared dead but still probes.
+    pub(super) fn buddy_notice(&self, to: &Identity) -> Vec<Entry> {
         match self.members.get(&to.name) {
             Some(member)
                 if member.id.generation == to.generation
@@ -42,21 +43,27 @@
     }
 
     pub(super) fn holding(&self) -> Option<Holding> {
-        let (edition, digest, confirmed) = self.list?;
-        // Never confirmed is as old as can be told.
-        let age = confirmed.map_or(Micros(u64::MAX), |at| self.clock.minus(at));
+        let (edition, digest, confirmed) = self.held_list?;
+        // A list that was never confirmed gets the maximum age.
+        let age = confirmed.map_or(Micros(u64::MAX), |at| self.now.minus(at));
         Some(Holding { edition, digest, age })
     }
 
-    /// Sends `body` with `first` entries and as much news as fits.
-    pub(super) fn send(&mut self, to: SocketAddr, body: Body, first: &[Entry], out: &mut Vec<Output>) {
-        let mut entries: Vec<Entry> = first.to_vec();
-        let mut room = self.writer.room(&body);
+    /// Sends `body` with the `priority_entries` and as many pending updates as fit.
+    pub(super) fn send(
+        &mut self,
+        to: SocketAddr,
+        body: Body,
+        priority_entries: &[Entry],
+        out: &mut Vec<Output>,
+    ) {
+        let mut entries: Vec<Entry> = priority_entries.to_vec();
+        let mut capacity = self.writer.entry_capacity(&body);
         for entry in &entries {
-            room = room.saturating_sub(wire::entry_size(entry));
+            capacity = capacity.saturating_sub(wire::entry_size(entry));
         }
-        let limit = self.limit();
-        self.broadcasts.take(room, limit, &mut entries);
+        let limit = self.retransmit_limit();
+        self.broadcasts.take_batch(capacity, limit, &mut entries);
         self.packet_seq += 1;
         let holding = self.holding();
         let bytes = self.writer.write(self.packet_seq, holding.as_ref(), &body, &entries);
@@ -65,8 +72,8 @@
         out.push(Output::Send { to, bytes });
     }
 
-    /// The whole view to `to`, in pieces that each fit a datagram.
-    pub(super) fn send_view(&mut self, to: SocketAddr, reply: bool, out: &mut Vec<Output>) {
+    /// Sends the full state to `to`, split into pieces that fit a datagram each.
+    pub(super) fn send_full_state(&mut self, to: SocketAddr, reply: bool, out: &mut Vec<Output>) {
         let mut all = vec![self.own_entry()];
         all.extend(self.members.values().map(|member| Entry {
             id: member.id.clone(),
@@ -74,22 +81,24 @@
             state: member.state,
             accuser: None,
         }));
-        let room = self.writer.room(&Body::Sync { reply, last: false });
+        let capacity = self.writer.entry_capacity(&Body::Sync { reply, last: false });
         let mut pieces: Vec<Vec<Entry>> = vec![Vec::new()];
         let mut used = 0;
         for entry in all {
             let size = wire::entry_size(&entry);
-            if used + size > room || pieces.last().is_some_and(|piece| piece.len() == usize::from(u8::MAX)) {
+            if used + size > capacity
+                || pieces.last().is_some_and(|piece| piece.len() == usize::from(u8::MAX))
+            {
                 pieces.push(Vec::new());
                 used = 0;
             }
             used += size;
-            pieces.last_mut().expect("one piece at least").push(entry);
+            pieces.last_mut().expect("at least one piece").push(entry);
         }
         let count = pieces.len();
-        for (at, piece) in pieces.into_iter().enumerate() {
+        for (index, piece) in pieces.into_iter().enumerate() {
             self.packet_seq += 1;
-            let body = Body::Sync { reply, last: at + 1 == count };
+            let body = Body::Sync { reply, last: index + 1 == count };
             let holding = self.holding();
             let bytes = self.writer.write(self.packet_seq, holding.as_ref(), &body, &piece);
             self.stats.sent += 1;
--- a/src/membership/protocol/tests.rs
+++ b/src/membership/protocol/tests.rs
@@ -9,17 +9,25 @@
     Node::new(id(name, port, generation), "t", None, Settings::default(), seeds, u64::from(port), Micros(0))
 }
 
-/// Runs the nodes for `length`, in steps of 10 ms, datagrams handed over at once; `cut` names ports that lose all.
-fn play(nodes: &mut [Node], from: Micros, length: Micros, cut: &[u16], changes: &mut Vec<(String, Change)>) {
+/// Runs the nodes for `length` in steps of 10 ms. Datagrams arrive in the next step at the latest; those from
+/// or to a port in `cut` are lost.
+fn run(
+    nodes: &mut [Node],
+    from: Micros,
+    length: Micros,
+    cut: &[u16],
+    changes: &mut Vec<(String, StateChange)>,
+) {
     let mut now = from;
-    let mut wire: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
+    let mut in_flight: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
     while now < from.plus(length) {
         now = now.plus(Micros::from_ms(10.0));
         for node in nodes.iter_mut() {
             let mut out = Vec::new();
-            let mine: Vec<_> = wire.iter().filter(|(to, _, _)| *to == node.me().address).cloned().collect();
-            wire.retain(|(to, _, _)| *to != node.me().address);
-            for (_, from, bytes) in mine {
+            let arriving: Vec<_> =
+                in_flight.iter().filter(|(to, _, _)| *to == node.me().address).cloned().collect();
+            in_flight.retain(|(to, _, _)| *to != node.me().address);
+            for (_, from, bytes) in arriving {
                 node.receive(now, from, &bytes, &mut out);
             }
             node.tick(now, &mut out);
@@ -28,7 +36,7 @@
                     Output::Send { to, bytes } => {
                         let own = node.me().address;
                         if !cut.contains(&own.port()) && !cut.contains(&to.port()) {
-                            wire.push((to, own, bytes));
+                            in_flight.push((to, own, bytes));
                         }
                     }
                     Output::Changed(change) => changes.push((node.me().name.clone(), change)),
@@ -39,51 +47,51 @@
     }
 }
 
-fn three() -> Vec<Node> {
+fn three_nodes() -> Vec<Node> {
     vec![node("a", 1, 1, &[]), node("b", 2, 1, &[1]), node("c", 3, 1, &[1])]
 }
 
 #[test]
-fn a_fleet_joins_through_its_seed_and_a_cut_member_is_declared_dead() {
-    let mut nodes = three();
+fn fleet_joins_through_its_seed_and_an_isolated_member_is_declared_dead() {
+    let mut nodes = three_nodes();
     let mut changes = Vec::new();
-    play(&mut nodes, Micros(0), Micros::from_ms(3_000.0), &[], &mut changes);
-    assert!(nodes.iter().all(|node| node.view().alive == 3), "all know all");
-    play(&mut nodes, Micros::from_ms(3_000.0), Micros::from_ms(20_000.0), &[3], &mut changes);
+    run(&mut nodes, Micros(0), Micros::from_ms(3_000.0), &[], &mut changes);
+    assert!(nodes.iter().all(|node| node.counts().alive == 3), "every member knows every other");
+    run(&mut nodes, Micros::from_ms(3_000.0), Micros::from_ms(20_000.0), &[3], &mut changes);
     assert_eq!(nodes[0].state_of("c").map(|(_, _, state)| state), Some(State::Dead));
     assert_eq!(nodes[1].state_of("c").map(|(_, _, state)| state), Some(State::Dead));
 }
 
 #[test]
-fn a_suspect_refutes_with_a_higher_incarnation_and_is_not_declared_dead_at_it() {
-    let mut nodes = three();
+fn suspect_refutes_with_a_higher_incarnation_and_is_not_declared_dead() {
+    let mut nodes = three_nodes();
     let mut changes = Vec::new();
-    play(&mut nodes, Micros(0), Micros::from_ms(3_000.0), &[], &mut changes);
-    // b tells a that c is suspect, as if b's probe had failed.
+    run(&mut nodes, Micros(0), Micros::from_ms(3_000.0), &[], &mut changes);
+    // a receives b's suspicion of c, as if b's probe had failed.
     let c = nodes[2].me().clone();
-    let lie = Entry { id: c.clone(), incarnation: 0, state: State::Suspect, accuser: Some("b".into()) };
+    let suspicion = Entry { id: c.clone(), incarnation: 0, state: State::Suspect, accuser: Some("b".into()) };
     let mut out = Vec::new();
-    nodes[0].apply(Micros::from_ms(3_000.0), &lie, "b", "gossip", &mut out);
+    nodes[0].apply(Micros::from_ms(3_000.0), &suspicion, "b", "gossip", &mut out);
     assert_eq!(nodes[0].state_of("c").map(|(_, _, state)| state), Some(State::Suspect));
     changes.clear();
-    play(&mut nodes, Micros::from_ms(3_000.0), Micros::from_ms(30_000.0), &[], &mut changes);
+    run(&mut nodes, Micros::from_ms(3_000.0), Micros::from_ms(30_000.0), &[], &mut changes);
     assert!(nodes[2].incarnation() >= 1, "c refuted");
     assert_eq!(nodes[0].state_of("c"), Some((1, nodes[2].incarnation(), State::Alive)));
     assert!(
         !changes.iter().any(|(_, change)| change.id.name == "c" && change.to == State::Dead),
         "{changes:?}"
     );
-    // Old news of its death at the refuted incarnation changes nothing.
+    // A late update with its death at the refuted incarnation changes nothing.
     let late = Entry { id: c, incarnation: 0, state: State::Dead, accuser: None };
     nodes[0].apply(Micros::from_ms(30_000.0), &late, "b", "gossip", &mut out);
     assert_eq!(nodes[0].state_of("c").map(|(_, _, state)| state), Some(State::Alive));
 }
 
 #[test]
-fn a_restart_is_a_new_generation_and_the_old_one_is_dead_once() {
-    let mut nodes = three();
+fn restarted_member_is_a_new_generation_and_the_old_one_is_reported_dead_once() {
+    let mut nodes = three_nodes();
     let mut changes = Vec::new();
-    play(&mut nodes, Micros(0), Micros::from_ms(3_000.0), &[], &mut changes);
+    run(&mut nodes, Micros(0), Micros::from_ms(3_000.0), &[], &mut changes);
     nodes[2] = Node::new(
         id("c", 3, 2),
         "t",
@@ -94,7 +102,7 @@
         Micros::from_ms(3_000.0),
     );
     changes.clear();
-    play(&mut nodes, Micros::from_ms(3_000.0), Micros::from_ms(5_000.0), &[], &mut changes);
+    run(&mut nodes, Micros::from_ms(3_000.0), Micros::from_ms(5_000.0), &[], &mut changes);
     assert_eq!(
         nodes[0].state_of("c").map(|(generation, _, state)| (generation, state)),
         Some((2, State::Alive))
@@ -106,22 +114,22 @@
 }
 
 #[test]
-fn replayed_foreign_and_stale_datagrams_are_dropped_by_cause() {
-    let mut nodes = three();
+fn replayed_foreign_and_stale_datagrams_are_counted_by_drop_reason() {
+    let mut nodes = three_nodes();
     let mut changes = Vec::new();
-    play(&mut nodes, Micros(0), Micros::from_ms(1_000.0), &[], &mut changes);
+    run(&mut nodes, Micros(0), Micros::from_ms(1_000.0), &[], &mut changes);
     let b = nodes[1].me().clone();
-    let writer = Writer::new("t", &b, None);
+    let writer = PacketWriter::new("t", &b, None);
     let bytes = writer.write(1_000_000, None, &Body::Gossip, &[]);
     let mut out = Vec::new();
     nodes[0].receive(Micros::from_ms(1_000.0), b.address, &bytes, &mut out);
     nodes[0].receive(Micros::from_ms(1_000.0), b.address, &bytes, &mut out);
     nodes[0].receive(Micros::from_ms(1_000.0), b.address, b"GET / HTTP/1.1\r\n", &mut out);
-    let older = Writer::new("t", &id("b", 2, 0), None).write(1, None, &Body::Gossip, &[]);
+    let older = PacketWriter::new("t", &id("b", 2, 0), None).write(1, None, &Body::Gossip, &[]);
     nodes[0].receive(Micros::from_ms(1_000.0), b.address, &older, &mut out);
     let dropped = nodes[0].stats().dropped;
-    for cause in [Dropped::Replayed, Dropped::Foreign, Dropped::Stale] {
-        assert_eq!(dropped[Dropped::ALL.iter().position(|c| *c == cause).unwrap()], 1, "{cause:?}");
+    for cause in [DropReason::Replayed, DropReason::Foreign, DropReason::Stale] {
+        assert_eq!(dropped[DropReason::ALL.iter().position(|c| *c == cause).unwrap()], 1, "{cause:?}");
     }
 }
 
@@ -130,28 +138,28 @@
 }
 
 #[test]
-fn a_start_whose_clock_went_back_goes_on_above_the_generation_that_is_remembered() {
-    let (mut nodes, mut changes) = (three(), Vec::new());
+fn member_restarted_with_a_clock_gone_back_takes_a_generation_above_the_remembered_one() {
+    let (mut nodes, mut changes) = (three_nodes(), Vec::new());
     nodes[2] = node("c", 3, 900, &[1]);
-    play(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
+    run(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
     nodes[2] = node("c", 3, 5, &[1]);
-    // At once, not only when it is missed under its old generation.
-    play(&mut nodes, s(3.0), s(0.5), &[], &mut changes);
+    // It does so at once, not only after its old generation was declared dead.
+    run(&mut nodes, s(3.0), s(0.5), &[], &mut changes);
     assert_eq!(nodes[2].me().generation, 901);
     assert_eq!(
         nodes[0].state_of("c").map(|(generation, _, state)| (generation, state)),
         Some((901, State::Alive))
     );
-    assert_eq!(nodes[2].view().alive, 3);
+    assert_eq!(nodes[2].counts().alive, 3);
 }
 
 #[test]
-fn a_goodbye_that_was_not_its_own_is_answered_with_a_new_generation() {
-    let (mut nodes, mut changes) = (three(), Vec::new());
-    play(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
-    let lie = Entry { id: nodes[2].me().clone(), incarnation: 0, state: State::Left, accuser: None };
-    nodes[0].apply(s(3.0), &lie, "b", "gossip", &mut Vec::new());
-    play(&mut nodes, s(3.0), s(3.0), &[], &mut changes);
+fn forged_leave_announcement_is_answered_with_a_new_generation() {
+    let (mut nodes, mut changes) = (three_nodes(), Vec::new());
+    run(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
+    let forged = Entry { id: nodes[2].me().clone(), incarnation: 0, state: State::Left, accuser: None };
+    nodes[0].apply(s(3.0), &forged, "b", "gossip", &mut Vec::new());
+    run(&mut nodes, s(3.0), s(3.0), &[], &mut changes);
     assert_eq!(
         nodes[0].state_of("c").map(|(generation, _, state)| (generation, state)),
         Some((2, State::Alive))
@@ -159,85 +167,91 @@
 }
 
 #[test]
-fn what_a_stalled_member_missed_is_not_held_against_others() {
-    let (mut nodes, mut changes) = (three(), Vec::new());
-    play(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
-    // a has just begun to doubt c, and stands still for 20 s; the others' datagrams are lost with its socket.
+fn stalled_member_does_not_declare_suspects_dead_for_refutations_that_it_missed() {
+    let (mut nodes, mut changes) = (three_nodes(), Vec::new());
+    run(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
+    // a has just started to suspect c and is then suspended for 20 s; datagrams sent to it in that time are
+    // lost.
     let c = nodes[2].me().clone();
-    let doubt = Entry { id: c, incarnation: 0, state: State::Suspect, accuser: Some("b".into()) };
-    nodes[0].apply(s(3.0), &doubt, "b", "gossip", &mut Vec::new());
+    let suspicion = Entry { id: c, incarnation: 0, state: State::Suspect, accuser: Some("b".into()) };
+    nodes[0].apply(s(3.0), &suspicion, "b", "gossip", &mut Vec::new());
     let mut out = Vec::new();
     nodes[0].tick(s(23.0), &mut out);
     assert_eq!(nodes[0].state_of("c").map(|(_, _, state)| state), Some(State::Suspect), "{out:?}");
     changes.clear();
-    play(&mut nodes, s(23.0), s(10.0), &[], &mut changes);
+    run(&mut nodes, s(23.0), s(10.0), &[], &mut changes);
     assert_eq!(nodes[0].state_of("c").map(|(_, _, state)| state), Some(State::Alive));
     let dead = changes.iter().any(|(at, change)| at == "a" && change.to == State::Dead);
     assert!(!dead, "{changes:?}");
 }
 
 #[test]
-fn fleets_that_formed_apart_find_each_other_by_a_seed_and_a_word_of_a_stranger() {
+fn separately_formed_fleets_merge_through_a_seed_and_replies_to_unknown_senders() {
     let mut changes = Vec::new();
     let mut nodes =
         vec![node("a", 1, 1, &[]), node("b", 2, 1, &[1]), node("c", 3, 1, &[2]), node("d", 4, 1, &[3])];
-    // Each pair on its own: c's seed does not hear it.
-    play(&mut nodes[..2], Micros(0), s(2.0), &[], &mut changes);
-    play(&mut nodes[2..], Micros(0), s(2.0), &[], &mut changes);
-    assert!(nodes.iter().all(|node| node.view().alive == 2));
-    play(&mut nodes, s(2.0), s(6.0), &[], &mut changes);
-    assert!(nodes.iter().all(|node| node.view().alive == 4), "one fleet");
+    // Each pair forms its own fleet, because c's seed does not receive its requests.
+    run(&mut nodes[..2], Micros(0), s(2.0), &[], &mut changes);
+    run(&mut nodes[2..], Micros(0), s(2.0), &[], &mut changes);
+    assert!(nodes.iter().all(|node| node.counts().alive == 2));
+    run(&mut nodes, s(2.0), s(6.0), &[], &mut changes);
+    assert!(nodes.iter().all(|node| node.counts().alive == 4), "one fleet");
     assert!(changes.iter().all(|(_, change)| change.to != State::Dead));
 }
 
 #[test]
-fn a_death_that_a_whole_view_tells_of_is_a_doubt_here_first() {
-    let (mut nodes, mut changes) = (three(), Vec::new());
-    play(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
+fn death_reported_by_a_full_state_sync_is_a_suspicion_first() {
+    let (mut nodes, mut changes) = (three_nodes(), Vec::new());
+    run(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
     let (b, c) = (nodes[1].me().clone(), nodes[2].me().clone());
     let dead = Entry { id: c.clone(), incarnation: 0, state: State::Dead, accuser: None };
-    let bytes =
-        Writer::new("t", &b, None).write(1_000_000, None, &Body::Sync { reply: false, last: true }, &[dead]);
+    let bytes = PacketWriter::new("t", &b, None).write(
+        1_000_000,
+        None,
+        &Body::Sync { reply: false, last: true },
+        &[dead],
+    );
     nodes[0].receive(s(3.0), b.address, &bytes, &mut Vec::new());
     assert_eq!(nodes[0].state_of("c").map(|(_, _, state)| state), Some(State::Suspect));
 }
 
 #[test]
-fn no_more_members_than_the_bound_are_taken() {
-    let mut one = node("a", 1, 1, &[]);
-    for number in 0..MOST_MEMBERS + 50 {
+fn members_beyond_the_maximum_are_counted_as_overflow_and_not_added() {
+    let mut single = node("a", 1, 1, &[]);
+    for number in 0..MAX_MEMBERS + 50 {
         let id = id(&format!("x{number}"), 2, 1);
-        let told = Entry { id, incarnation: 0, state: State::Alive, accuser: None };
-        one.apply(Micros(1), &told, "x", "gossip", &mut Vec::new());
+        let update = Entry { id, incarnation: 0, state: State::Alive, accuser: None };
+        single.apply(Micros(1), &update, "x", "gossip", &mut Vec::new());
     }
-    assert_eq!((one.view().live(), one.stats().overflow), (MOST_MEMBERS + 1, 50));
+    assert_eq!((single.counts().live(), single.stats().overflow), (MAX_MEMBERS + 1, 50));
 }
 
 #[test]
-fn a_start_whose_news_missed_a_member_is_known_from_its_first_datagram() {
-    // b holds the last start of c dead; the next one knows b, and nobody else is there to tell b of it.
+fn restart_whose_announcement_was_missed_is_learned_from_its_first_datagram() {
+    // b knows the previous generation of c as dead. The next one knows b, and no other member can announce it
+    // to b.
     let mut nodes = vec![node("b", 2, 1, &[]), node("c", 3, 2, &[])];
     let b = Entry { id: nodes[0].me().clone(), incarnation: 0, state: State::Alive, accuser: None };
-    let last = Entry { id: id("c", 3, 1), incarnation: 0, state: State::Alive, accuser: None };
-    let dead = Entry { state: State::Dead, ..last.clone() };
+    let previous = Entry { id: id("c", 3, 1), incarnation: 0, state: State::Alive, accuser: None };
+    let dead = Entry { state: State::Dead, ..previous.clone() };
     let mut out = Vec::new();
-    nodes[0].apply(Micros(0), &last, "a", "gossip", &mut out);
+    nodes[0].apply(Micros(0), &previous, "a", "gossip", &mut out);
     nodes[0].apply(Micros(0), &dead, "a", "gossip", &mut out);
     nodes[1].apply(Micros(0), &b, "a", "sync", &mut out);
     let two_probes = Micros(2 * Settings::default().probe_interval.0);
-    play(&mut nodes, Micros(0), two_probes, &[], &mut Vec::new());
+    run(&mut nodes, Micros(0), two_probes, &[], &mut Vec::new());
     assert_eq!(nodes[0].state_of("c"), Some((2, 0, State::Alive)));
 }
 
-/// How often each member stands in the probe order.
-fn places(node: &Node) -> Vec<(&str, usize)> {
-    node.members.keys().map(|name| (name.as_str(), node.order.places_of(name))).collect()
+/// Number of entries of each member in the probe order.
+fn probe_entries(node: &Node) -> Vec<(&str, usize)> {
+    node.members.keys().map(|name| (name.as_str(), node.probe_order.entry_count(name))).collect()
 }
 
 #[test]
-fn a_member_that_restarts_keeps_its_one_place_in_the_probe_order() {
-    let (mut nodes, mut changes) = (three(), Vec::new());
-    play(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
+fn restarted_member_keeps_a_single_entry_in_the_probe_order() {
+    let (mut nodes, mut changes) = (three_nodes(), Vec::new());
+    run(&mut nodes, Micros(0), s(3.0), &[], &mut changes);
     for generation in 2..7 {
         let now = s(generation as f64 * 3.0);
         nodes[2] = Node::new(
@@ -249,31 +263,31 @@
             9,
             now,
         );
-        play(&mut nodes, now, s(3.0), &[], &mut changes);
+        run(&mut nodes, now, s(3.0), &[], &mut changes);
         assert_eq!(nodes[0].state_of("c"), Some((generation, 0, State::Alive)));
-        assert_eq!(places(&nodes[0]), [("b", 1), ("c", 1)]);
-        assert_eq!(places(&nodes[1]), [("a", 1), ("c", 1)]);
+        assert_eq!(probe_entries(&nodes[0]), [("b", 1), ("c", 1)]);
+        assert_eq!(probe_entries(&nodes[1]), [("a", 1), ("c", 1)]);
     }
 }
 
 #[test]
-fn a_member_that_is_forgotten_before_its_place_in_the_probe_order_is_met_leaves_no_place() {
-    let mut one = node("a", 1, 1, &[]);
+fn reaped_member_is_removed_from_the_probe_order() {
+    let mut single = node("a", 1, 1, &[]);
     for (at, name) in ["b", "c", "d", "e"].into_iter().enumerate() {
-        let told =
+        let update =
             Entry { id: id(name, 2 + at as u16, 1), incarnation: 0, state: State::Alive, accuser: None };
-        one.apply(Micros(0), &told, "b", "gossip", &mut Vec::new());
+        single.apply(Micros(0), &update, "b", "gossip", &mut Vec::new());
     }
     for name in ["b", "d"] {
-        let member = one.members[name].id.clone();
+        let member = single.members[name].id.clone();
         let dead = Entry { id: member, incarnation: 0, state: State::Dead, accuser: None };
-        one.apply(Micros(0), &dead, "b", "gossip", &mut Vec::new());
-        one.fire(
-            one.settings.reap_after,
+        single.apply(Micros(0), &dead, "b", "gossip", &mut Vec::new());
+        single.on_timer(
+            single.settings.reap_after,
             Timer::Reap { name: name.to_owned(), generation: 1 },
             &mut Vec::new(),
         );
-        assert_eq!(one.order.places_of(name), 0);
+        assert_eq!(single.probe_order.entry_count(name), 0);
     }
-    assert_eq!(places(&one), [("c", 1), ("e", 1)]);
+    assert_eq!(probe_entries(&single), [("c", 1), ("e", 1)]);
 }
--- a/src/membership/protocol/view.rs
+++ b/src/membership/protocol/view.rs
@@ -1,66 +1,67 @@
-//! What a member tells of its view: changes, counts, and the members as operators see them.
+//! What a member reports about the membership: state changes, counters, and the members as operators see
+//! them.
 
-use super::super::wire::Dropped;
+use super::super::wire::DropReason;
 use super::super::{Identity, State};
 use crate::Micros;
 
-/// A change of a member in this member's view.
+/// A change of a member's state, as seen by this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
-    /// The member.
+pub struct StateChange {
+    /// The member that changed.
     pub id: Identity,
-    /// Its incarnation now.
+    /// Its incarnation after the change.
     pub incarnation: u32,
-    /// `None`: newly known.
+    /// The previous state; `None` if the member was unknown.
     pub from: Option<State>,
-    /// Its state now.
+    /// The new state.
     pub to: State,
-    /// Why, for the line: `probe`, `gossip`, `timeout`, `refuted`, `restarted`, `sync`.
+    /// The cause for the log line: `probe`, `gossip`, `timeout`, `refuted`, `restarted` or `sync`.
     pub cause: &'static str,
 }
 
-/// Counts since the start, for `/ops/stats` and the lab.
+/// Counters since the start, for `/ops/stats` and the lab.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[allow(missing_docs)]
 pub struct Stats {
     pub probes: u64,
     pub acks: u64,
     pub nacks: u64,
-    /// Ping-reqs sent to helpers.
+    /// Indirect probes requested from helpers.
     pub indirect: u64,
     pub suspicions: u64,
-    /// Suspicions of others that they refuted, as seen here.
+    /// Suspicions of other members that those members refuted.
     pub refutations: u64,
-    /// Times this member refuted news of its own suspicion or death.
+    /// Times this member refuted its own suspicion or death.
     pub refuted_self: u64,
     pub dead: u64,
     pub left: u64,
     pub joined: u64,
-    /// Turns that came so late that this process must have been stopped; no probe failed by it.
+    /// Ticks so late that this process must have been suspended; they fail no probe.
     pub stalls: u64,
-    /// Datagrams from members of the cluster that were not known; they are asked for their view.
+    /// Datagrams of this cluster from unknown members, which are asked for their full state.
     pub strangers: u64,
-    /// News of members beyond the bound, not taken.
+    /// Updates about members beyond [`MAX_MEMBERS`](super::MAX_MEMBERS), which are ignored.
     pub overflow: u64,
     pub sent: u64,
     pub sent_bytes: u64,
     pub received: u64,
-    /// By cause, in the order of [`Dropped::ALL`].
+    /// Dropped datagrams by reason, in the order of [`DropReason::ALL`].
     pub dropped: [u64; 8],
 }
 
-/// How many members are in each state, this member counted alive.
+/// Number of members in each state; this member counts as alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct View {
+pub struct MemberCounts {
     pub alive: usize,
     pub suspect: usize,
     pub dead: usize,
     pub left: usize,
 }
 
-impl View {
-    /// Alive and suspect: those that take part.
+impl MemberCounts {
+    /// Number of participants: alive and suspect members.
     pub fn live(&self) -> usize {
         self.alive + self.suspect
     }
@@ -69,7 +70,7 @@
 /// One member as `/ops/members` shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Seen {
+pub struct MemberInfo {
     pub id: Identity,
     pub incarnation: u32,
     pub state: State,
@@ -78,16 +79,16 @@
 }
 
 impl Stats {
-    /// Counts a datagram that was not taken.
-    pub(super) fn count_dropped(&mut self, cause: Dropped) {
-        let at = Dropped::ALL.iter().position(|known| *known == cause).expect("every cause is listed");
-        self.dropped[at] += 1;
+    /// Counts a dropped datagram.
+    pub(super) fn count_dropped(&mut self, cause: DropReason) {
+        let index = DropReason::ALL.iter().position(|known| *known == cause).expect("every reason is listed");
+        self.dropped[index] += 1;
     }
 }
 
-impl View {
-    /// A member goes from one state to another; none where it is not known before, or any more.
-    pub(super) fn count(&mut self, from: Option<State>, to: Option<State>) {
+impl MemberCounts {
+    /// Counts a member's transition. `from` is `None` for a new member, `to` is `None` for a removed one.
+    pub(super) fn record_transition(&mut self, from: Option<State>, to: Option<State>) {
         if let Some(from) = from {
             *self.slot(from) -= 1;
         }
--- a/src/membership/rules.rs
+++ b/src/membership/rules.rs
@@ -1,9 +1,10 @@
-//! What one word about a member does to another, as plain functions: the core calls them, and the model check explores
-//! them in every order, with loss and repetition (`tests/membership_model.rs`).
+//! The effect of one update on the recorded state of a member, as pure functions. The protocol calls them,
+//! and a model checker explores them in every order, with loss and repetition (`tests/membership_model.rs`).
 
 use super::State;
 
-/// What is believed, or told, of one generation of a member.
+/// Incarnation and state of one generation of a member, as recorded by another member or reported by an
+/// update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Belief {
     /// Raised only by the member itself.
@@ -12,35 +13,41 @@
     pub state: State,
 }
 
-/// An incarnation above this is none that a member reaches: it could not be refuted, and is taken for unreadable.
-pub const MOST_INCARNATION: u32 = 1 << 31;
-
-/// Whether what is told takes the place of what is held: a higher incarnation beats any state of a lower one, at one
-/// incarnation the graver word counts, and who has left stays so for this generation.
-pub fn supersedes(held: Belief, told: Belief) -> bool {
-    held.state != State::Left
-        && (told.incarnation > held.incarnation
-            || told.incarnation == held.incarnation && told.state > held.state)
+/// The maximum incarnation. No member reaches a higher one, and it could not be refuted, so a datagram that
+/// contains one is malformed.
+pub const MAX_INCARNATION: u32 = 1 << 31;
+
+/// Whether a reported belief replaces the recorded one. A higher incarnation replaces any state of a lower
+/// one, at equal incarnations the later state in the order of [`State`] wins, and `Left` is final for its
+/// generation.
+pub fn supersedes(recorded: Belief, reported: Belief) -> bool {
+    recorded.state != State::Left
+        && (reported.incarnation > recorded.incarnation
+            || reported.incarnation == recorded.incarnation && reported.state > recorded.state)
 }
 
-/// The incarnation that a member goes on with when it hears this of itself; none where nothing is to be refuted.
-pub fn refutes(own: u32, told: Belief) -> Option<u32> {
-    let doubted = told.state != State::Alive && told.incarnation >= own;
-    let ahead = told.state == State::Alive && told.incarnation > own;
-    (doubted || ahead).then(|| told.incarnation.saturating_add(1))
+/// The incarnation with which a member refutes this belief about itself; `None` if there is nothing to
+/// refute.
+pub fn refuting_incarnation(own: u32, reported: Belief) -> Option<u32> {
+    let accused = reported.state != State::Alive && reported.incarnation >= own;
+    let ahead = reported.state == State::Alive && reported.incarnation > own;
+    (accused || ahead).then(|| reported.incarnation.saturating_add(1))
 }
 
-/// By how many a shared limit is divided, and whether the view may be trusted. `live` are those that take part, `known`
-/// those and the dead still remembered, `last_whole` the live count when the view was last trusted.
+/// The divisor of a shared limit, and whether the member counts are trusted. `live` is the number of
+/// participants, `known` adds the dead members still remembered, and `last_whole` is the live count when it
+/// was last trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Divisor {
-    /// More than half of all known are there: at most one part of any cut can say that.
+    /// More than half of all known members are live. At most one side of a partition can see this.
     Whole(usize),
-    /// A cut is likely, or many are doubted: the smaller share counts.
+    /// A partition is likely, or many members are suspect: the larger divisor applies, so the share is the
+    /// smaller one.
     Doubtful(usize),
 }
 
-/// See [`Divisor`]. With `many_suspects`, the count may fall without any cut, and the last whole view stays the divisor.
+/// Computes the [`Divisor`]. With `many_suspects` the live count may fall without a partition, so the last
+/// trusted count stays the divisor.
 pub fn divisor(live: usize, known: usize, last_whole: usize, many_suspects: bool) -> Divisor {
     let all = known.max(last_whole);
     if live * 2 <= all && all > 1 {
--- a/src/membership/share.rs
+++ b/src/membership/share.rs
@@ -1,93 +1,94 @@
-//! What a forwarder does with the view: by how many it divides a limit that all forwarders share.
+//! The divisor of a limit that all forwarders share, derived from the member counts.
 //!
-//! A view can be wrong in two ways: too small (a partition hides the others, who still send) and too large (the dead
-//! are not known dead yet). Too large is safe: each takes less. Too small is not, so a view of half or less of all that
-//! are known (the dead still remembered among them) or of the last whole view is taken for a partition, and all of them
-//! stay the divisor. At most one side of any
-//! cut can hold more than half, so over the whole fleet the sum sent stays under 1.5 times the limit (argued in
-//! `docs/membership.md`). A share that rises does so over a ramp, never in a jump.
-
-use super::protocol::View;
+//! A live count can be wrong in two ways: too low (a partition hides members that still send) or too high
+//! (crashed members are not declared dead yet). Too high is safe: each forwarder takes less. Too low is not.
+//! Therefore a live count of half or less of all known members (including the dead still remembered), or of
+//! the last trusted count, is treated as a partition, and the larger of these two numbers stays the divisor.
+//! At most one side of a partition can hold more than half, so the whole fleet sends less than 1.5 times the
+//! limit (the argument is in `docs/membership.md`). A share rises along a ramp, never in a jump.
+
+use super::protocol::MemberCounts;
 use super::rules::{self, Divisor};
 use crate::Micros;
 
-/// How shares follow the view.
+/// How shares follow the member counts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
-    /// The settings' number of forwarders: the divisor while the view is young.
-    pub floor: u32,
-    /// A view is young this long after the start: it may not have heard of all yet.
-    pub young: Micros,
-    /// A share that rises takes this long to reach its new height.
-    pub ramp: Micros,
-    /// Suspects above this share of the live members make the view doubtful.
+pub struct ShareSettings {
+    /// The configured number of forwarders: the least divisor while the view is young.
+    pub min_divisor: u32,
+    /// How long after the start the view counts as young: not all members may be known yet.
+    pub young_period: Micros,
+    /// How long a rising share takes to reach its new value.
+    pub ramp_duration: Micros,
+    /// A larger fraction of suspects among the live members makes the view doubtful.
     pub suspect_share: f64,
 }
 
-impl Default for Rules {
+impl Default for ShareSettings {
     fn default() -> Self {
-        Rules {
-            floor: 1,
-            young: Micros::from_ms(5_000.0),
-            ramp: Micros::from_ms(10_000.0),
+        ShareSettings {
+            min_divisor: 1,
+            young_period: Micros::from_ms(5_000.0),
+            ramp_duration: Micros::from_ms(10_000.0),
             suspect_share: 0.1,
         }
     }
 }
 
-/// Why the divisor is what it is, for the line and `/ops/stats`.
+/// Trust in the member counts, for log lines and `/ops/stats`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Just started: the settings' number, or the view where it is larger.
+pub enum ViewStatus {
+    /// Just started: the divisor is the configured number, or the live count if that is higher.
     Young,
-    /// The view is whole: the live count.
+    /// Trusted: the divisor is the live count.
     Whole,
-    /// Many suspects, or half or more of the last whole view lost: the last whole view.
+    /// Many suspects, or half or more of the members lost: the divisor does not fall below the last trusted
+    /// count.
     Doubtful,
 }
 
-impl Standing {
-    /// The name in lines and figures.
+impl ViewStatus {
+    /// The name in log lines and statistics.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Young => "young",
-            Standing::Whole => "whole",
-            Standing::Doubtful => "doubtful",
+            ViewStatus::Young => "young",
+            ViewStatus::Whole => "whole",
+            ViewStatus::Doubtful => "doubtful",
         }
     }
 }
 
-/// The divisor of shared limits, as the view changes.
+/// This forwarder's share of shared limits, updated as the member counts change.
 pub struct Shares {
-    rules: Rules,
+    settings: ShareSettings,
     started: Micros,
-    /// The live count the last time the view was whole (not doubtful).
+    /// The live count when the view was last whole.
     last_whole: usize,
-    standing: Standing,
-    /// The share (1 / divisor) before the last rise began, when it began, and where it goes.
+    status: ViewStatus,
+    /// The share (1 / divisor) when the last rise began, the start of that rise, and its target.
     ramp_from: f64,
     ramp_start: Micros,
     target: f64,
 }
 
 impl Shares {
-    /// Shares of a forwarder that starts at `now`.
-    pub fn new(rules: Rules, now: Micros) -> Self {
-        let floor = f64::from(rules.floor.max(1));
+    /// Creates the shares of a forwarder that starts at `now`.
+    pub fn new(settings: ShareSettings, now: Micros) -> Self {
+        let min_divisor = f64::from(settings.min_divisor.max(1));
         Shares {
-            last_whole: rules.floor.max(1) as usize,
-            rules,
+            last_whole: settings.min_divisor.max(1) as usize,
+            settings,
             started: now,
-            standing: Standing::Young,
-            ramp_from: 1.0 / floor,
+            status: ViewStatus::Young,
+            ramp_from: 1.0 / min_divisor,
             ramp_start: now,
-            target: 1.0 / floor,
+            target: 1.0 / min_divisor,
         }
     }
 
-    /// Why the divisor is what it is.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    /// The current trust in the member counts.
+    pub fn view_status(&self) -> ViewStatus {
+        self.status
     }
 
     /// The live count when the view was last whole.
@@ -95,39 +96,40 @@
         self.last_whole
     }
 
-    /// A member left by its own word: it will not send, so the whole view is one smaller.
-    pub fn left(&mut self) {
+    /// Records that a member announced its departure. It will not send, so the whole view is one member
+    /// smaller.
+    pub fn record_departure(&mut self) {
         self.last_whole = self.last_whole.saturating_sub(1).max(1);
     }
 
-    /// Takes the view as it is at `now`; returns the standing where it changed.
-    pub fn observe(&mut self, now: Micros, view: View) -> Option<Standing> {
-        let live = view.live().max(1);
-        let many_suspects = view.suspect as f64 > (self.rules.suspect_share * live as f64).max(1.0);
-        let (standing, divisor) = if now.minus(self.started) < self.rules.young {
-            (Standing::Young, live.max(self.rules.floor as usize))
+    /// Updates the share for the member counts at `now`. Returns the view status if it changed.
+    pub fn observe(&mut self, now: Micros, counts: MemberCounts) -> Option<ViewStatus> {
+        let live = counts.live().max(1);
+        let many_suspects = counts.suspect as f64 > (self.settings.suspect_share * live as f64).max(1.0);
+        let (status, divisor) = if now.minus(self.started) < self.settings.young_period {
+            (ViewStatus::Young, live.max(self.settings.min_divisor as usize))
         } else {
-            match rules::divisor(live, live + view.dead, self.last_whole, many_suspects) {
-                Divisor::Whole(divisor) => (Standing::Whole, divisor),
-                Divisor::Doubtful(divisor) => (Standing::Doubtful, divisor),
+            match rules::divisor(live, live + counts.dead, self.last_whole, many_suspects) {
+                Divisor::Whole(divisor) => (ViewStatus::Whole, divisor),
+                Divisor::Doubtful(divisor) => (ViewStatus::Doubtful, divisor),
             }
         };
-        if standing == Standing::Whole {
+        if status == ViewStatus::Whole {
             self.last_whole = live;
         }
-        if standing == Standing::Young && live > self.last_whole {
+        if status == ViewStatus::Young && live > self.last_whole {
             self.last_whole = live;
         }
-        self.aim(now, 1.0 / divisor as f64);
-        let changed = standing != self.standing;
-        self.standing = standing;
-        changed.then_some(standing)
+        self.set_target(now, 1.0 / divisor as f64);
+        let changed = status != self.status;
+        self.status = status;
+        changed.then_some(status)
     }
 
-    fn aim(&mut self, now: Micros, target: f64) {
+    fn set_target(&mut self, now: Micros, target: f64) {
         let current = self.share(now);
         if target < current {
-            // A fall is taken at once: it is the safe way.
+            // A lower share is safe, so it applies at once.
             self.ramp_from = target;
             self.ramp_start = now;
         } else if target > self.target {
@@ -137,31 +139,33 @@
         self.target = target;
     }
 
-    /// This forwarder's share of a shared limit at `now`, 0 to 1.
+    /// This forwarder's share of a shared limit at `now`, from 0 to 1.
     pub fn share(&self, now: Micros) -> f64 {
         if self.target <= self.ramp_from {
             return self.target;
         }
-        let done = (now.minus(self.ramp_start).0 as f64 / self.rules.ramp.0.max(1) as f64).min(1.0);
-        self.ramp_from + (self.target - self.ramp_from) * done
+        let progress =
+            (now.minus(self.ramp_start).0 as f64 / self.settings.ramp_duration.0.max(1) as f64).min(1.0);
+        self.ramp_from + (self.target - self.ramp_from) * progress
     }
 
-    /// The number that the divisor goes to, once a rise is over.
+    /// The divisor once the current rise is complete.
     pub fn target_divisor(&self) -> u64 {
         (1.0 / self.target).round() as u64
     }
 
-    /// When the standing may change by itself: a young view grows up. Else it changes with the view.
-    pub fn due(&self) -> Micros {
-        let grown = self.started.plus(self.rules.young);
-        if self.standing == Standing::Young {
-            grown
+    /// When the view status may change without a change of the member counts: when a young view ages.
+    /// Otherwise never.
+    pub fn next_wake(&self) -> Micros {
+        let young_until = self.started.plus(self.settings.young_period);
+        if self.status == ViewStatus::Young {
+            young_until
         } else {
             Micros(u64::MAX)
         }
     }
 
-    /// The number to divide a shared limit by at `now`: `1 / share`, never below 1.
+    /// The divisor of a shared limit at `now`: `1 / share`, never below 1.
     pub fn divisor(&self, now: Micros) -> f64 {
         (1.0 / self.share(now)).max(1.0)
     }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,20 +1,21 @@
-//! The membership's messages as bytes: one UDP datagram each, bounded, versioned, named by cluster, and signed where a
-//! key is shared.
+//! The datagram format of the membership protocol. Each packet is one UDP datagram of bounded size that
+//! carries a format version and the cluster's name, and is signed if a key is shared.
 //!
-//! Layout (all numbers big-endian):
+//! Layout (all numbers are big-endian):
 //!
 //! ```text
 //! magic "CWm" | version u8 | flags u8 (bit 0: signed) | cluster: len u8, bytes
-//! sender: identity | packet sequence u64 | holding: 0, or 1 and edition (epoch u32, generation u64), digest u64,
-//! age u16 in tenths of a second | body kind u8 | body | gossip: count u8, entries
+//! sender: identity | packet sequence u64
+//! holding: 0, or 1 and edition (epoch u32, generation u64), digest u64, age u16 in tenths of a second
+//! body kind u8 | body | gossip: count u8, entries
 //! [HMAC-SHA256 of everything before it, 32 bytes, where signed]
 //! identity = name: len u8, bytes | address: family u8 (4 or 6), ip, port u16 | generation u64
-//! entry    = identity | incarnation u32 | state u8
+//! entry    = identity | incarnation u32 | state u8 | accuser (suspect only): len u8, bytes
 //! ```
 //!
-//! Anything that does not read whole is dropped with its cause; nothing read half changes a view.
+//! A datagram that cannot be decoded completely is dropped with a reason and changes no state.
 
-use super::rules::MOST_INCARNATION;
+use super::rules::MAX_INCARNATION;
 use super::{Entry, Identity, State};
 use crate::maintenance::parts::{Part, PART};
 use crate::startup::transfer::{Wanted, PIECE};
@@ -24,31 +25,31 @@
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// The largest datagram sent or read: what loopback and most paths carry without fragments.
+/// The maximum size of a datagram sent or accepted; loopback and most paths carry it without fragmentation.
 pub const MAX_DATAGRAM: usize = 1_400;
-/// The version written; a higher one is from the future and dropped.
+/// The format version written. Datagrams with a higher version are dropped.
 pub const VERSION: u8 = 3;
-/// Names of members and of the cluster are at most this many bytes.
+/// Maximum length of a member's or the cluster's name, in bytes.
 pub const MAX_NAME: usize = 64;
 const MAGIC: &[u8; 3] = b"CWm";
-const TAG: usize = 32;
-/// Bytes of what a sender holds, at the most; a tenth of a second is the unit of its age.
-const HOLDING: usize = 1 + 12 + 8 + 2;
-const AGE_UNIT: u64 = 100_000;
+const TAG_BYTES: usize = 32;
+/// Maximum encoded size of the holding, in bytes. The unit of its age is a tenth of a second.
+const HOLDING_BYTES: usize = 1 + 12 + 8 + 2;
+const AGE_UNIT_MICROS: u64 = 100_000;
 
 type HmacSha256 = hmac::Hmac<sha2::Sha256>;
 
-/// A key shared by the members; never shown.
+/// A key shared by the members; its `Debug` output is redacted.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
 impl Key {
-    /// A key from its bytes (as read from its file, surrounding white space taken off by the caller).
+    /// Creates a key from the bytes of its file; the caller strips surrounding white space.
     pub fn new(bytes: Vec<u8>) -> Self {
         Key(bytes)
     }
 
-    fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
+    fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
         let mut mac =
             <HmacSha256 as KeyInit>::new_from_slice(&self.0).expect("HMAC takes keys of any length");
         mac.update(bytes);
@@ -69,31 +70,32 @@
     }
 }
 
-/// What a message asks or answers.
+/// What a packet requests or answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Body {
-    /// A probe of `target`; `suspected`: the prober holds it suspect (Lifeguard's buddy notice).
+    /// A probe of `target`; `suspected`: the sender suspects it (Lifeguard's buddy notice).
     Ping { seq: u32, target: Identity, suspected: bool },
-    /// Probe `target` for the sender.
+    /// A request to probe `target` indirectly.
     PingReq { seq: u32, target: Identity },
-    /// The probe `seq` was answered (directly, or relayed by a helper).
+    /// The target acked the probe `seq`, directly or through a helper.
     Ack { seq: u32 },
-    /// A helper heard nothing from the target of `seq`.
+    /// A helper got no ack from the target of `seq`.
     Nack { seq: u32 },
-    /// A piece of a whole view, in the gossip; `reply`: send yours back; `last`: the last piece.
+    /// A piece of the full state, carried in the gossip entries. `reply` requests the receiver's full state;
+    /// `last` marks the last piece.
     Sync { reply: bool, last: bool },
-    /// Nothing but gossip.
+    /// Gossip entries only.
     Gossip,
-    /// Give pieces of the list that you hold.
-    Ask(Wanted),
-    /// A piece of the list.
-    Piece { edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
-    /// A part of a message on maintenance.
-    Part(Part),
+    /// A request for pieces of the endpoint list that the receiver holds.
+    ListRequest(Wanted),
+    /// A piece of the endpoint list.
+    ListPiece { edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
+    /// A part of a maintenance message.
+    MaintenancePart(Part),
 }
 
-/// A message read whole.
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Packet {
@@ -104,89 +106,89 @@
     pub entries: Vec<Entry>,
 }
 
-/// Why a datagram changed nothing.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
-    /// Not ours: another magic.
+pub enum DropReason {
+    /// It has another magic number.
     Foreign,
-    /// Cut short or inconsistent.
+    /// It is truncated or inconsistent.
     Unreadable,
-    /// Over the datagram bound.
+    /// It exceeds the maximum datagram size.
     TooLarge,
-    /// Another cluster's name.
+    /// It names another cluster.
     OtherCluster,
-    /// A version above ours.
+    /// Its format version is newer than this one.
     Future,
-    /// Unsigned where a key is set, signed where none is, or a tag that does not match.
+    /// It is unsigned although a key is set, signed although none is set, or its tag does not match.
     BadTag,
-    /// A sequence number of that sender already seen, or too old for the window.
+    /// This sender's sequence number was received before, or is too old for the window.
     Replayed,
-    /// Of a generation older than the one known, or about ourselves from a process that is not us.
+    /// The sender's generation is older than the known one, or another process uses this member's name.
     Stale,
 }
 
-impl Dropped {
-    /// Every cause, in the order of the figures.
-    pub const ALL: [Dropped; 8] = [
-        Dropped::Foreign,
-        Dropped::Unreadable,
-        Dropped::TooLarge,
-        Dropped::OtherCluster,
-        Dropped::Future,
-        Dropped::BadTag,
-        Dropped::Replayed,
-        Dropped::Stale,
+impl DropReason {
+    /// All reasons, in the order of the statistics.
+    pub const ALL: [DropReason; 8] = [
+        DropReason::Foreign,
+        DropReason::Unreadable,
+        DropReason::TooLarge,
+        DropReason::OtherCluster,
+        DropReason::Future,
+        DropReason::BadTag,
+        DropReason::Replayed,
+        DropReason::Stale,
     ];
 
-    /// The name in figures and lines.
+    /// The name in statistics and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Dropped::Foreign => "foreign",
-            Dropped::Unreadable => "unreadable",
-            Dropped::TooLarge => "too_large",
-            Dropped::OtherCluster => "other_cluster",
-            Dropped::Future => "future",
-            Dropped::BadTag => "bad_tag",
-            Dropped::Replayed => "replayed",
-            Dropped::Stale => "stale",
+            DropReason::Foreign => "foreign",
+            DropReason::Unreadable => "unreadable",
+            DropReason::TooLarge => "too_large",
+            DropReason::OtherCluster => "other_cluster",
+            DropReason::Future => "future",
+            DropReason::BadTag => "bad_tag",
+            DropReason::Replayed => "replayed",
+            DropReason::Stale => "stale",
         }
     }
 }
 
-/// Writes messages of one member: its cluster, its identity and its key.
-pub struct Writer {
-    head: Vec<u8>,
+/// Encodes the packets of one member, with its cluster, identity and key.
+pub struct PacketWriter {
+    header: Vec<u8>,
     key: Option<Key>,
 }
 
-impl Writer {
-    /// A writer for `me` in `cluster`, signing with `key` where given.
+impl PacketWriter {
+    /// Creates a writer for `me` in `cluster` that signs with `key` if there is one.
     pub fn new(cluster: &str, me: &Identity, key: Option<Key>) -> Self {
-        let mut head = Vec::with_capacity(96);
-        head.extend_from_slice(MAGIC);
-        head.push(VERSION);
-        head.push(u8::from(key.is_some()));
-        put_text(&mut head, cluster);
-        put_identity(&mut head, me);
-        Writer { head, key }
+        let mut header = Vec::with_capacity(96);
+        header.extend_from_slice(MAGIC);
+        header.push(VERSION);
+        header.push(u8::from(key.is_some()));
+        put_text(&mut header, cluster);
+        put_identity(&mut header, me);
+        PacketWriter { header, key }
     }
 
-    /// Room for gossip entries in a message with `body`, in bytes.
-    pub fn room(&self, body: &Body) -> usize {
-        let mut probe = Vec::with_capacity(96);
-        put_body(&mut probe, body);
-        let tag = if self.key.is_some() { TAG } else { 0 };
-        MAX_DATAGRAM.saturating_sub(self.head.len() + 8 + HOLDING + probe.len() + 1 + tag)
+    /// Capacity for gossip entries in a packet with `body`, in bytes.
+    pub fn entry_capacity(&self, body: &Body) -> usize {
+        let mut encoded_body = Vec::with_capacity(96);
+        put_body(&mut encoded_body, body);
+        let tag = if self.key.is_some() { TAG_BYTES } else { 0 };
+        MAX_DATAGRAM.saturating_sub(self.header.len() + 8 + HOLDING_BYTES + encoded_body.len() + 1 + tag)
     }
 
-    /// The datagram; `entries` must fit in [`Writer::room`] (entries past the room or past 255 are left out).
+    /// Encodes a datagram. Entries beyond [`PacketWriter::entry_capacity`] or beyond 255 are left out.
     pub fn write(&self, seq: u64, holding: Option<&Holding>, body: &Body, entries: &[Entry]) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
-        out.extend_from_slice(&self.head);
+        out.extend_from_slice(&self.header);
         out.extend_from_slice(&seq.to_be_bytes());
         put_holding(&mut out, holding);
         put_body(&mut out, body);
-        let mut room = self.room(body);
+        let mut room = self.entry_capacity(body);
         let count_at = out.len();
         out.push(0);
         let mut count = 0u8;
@@ -208,7 +210,7 @@
     }
 }
 
-/// The bytes that an entry takes.
+/// Encoded size of an entry, in bytes.
 pub fn entry_size(entry: &Entry) -> usize {
     let accuser = match entry.state {
         State::Suspect => 1 + entry.accuser.as_ref().map_or(0, |name| name.len().min(MAX_NAME)),
@@ -222,35 +224,35 @@
     1 + id.name.len().min(MAX_NAME) + 1 + ip + 2 + 8
 }
 
-/// Reads a datagram of the cluster `cluster`, checked with `key` where one is set.
-pub fn read(bytes: &[u8], cluster: &str, key: Option<&Key>) -> Result<Packet, Dropped> {
+/// Decodes a datagram of the cluster `cluster` and verifies it with `key` if there is one.
+pub fn decode(bytes: &[u8], cluster: &str, key: Option<&Key>) -> Result<Packet, DropReason> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Dropped::TooLarge);
+        return Err(DropReason::TooLarge);
     }
     if bytes.len() < 5 || &bytes[..3] != MAGIC {
-        return Err(Dropped::Foreign);
+        return Err(DropReason::Foreign);
     }
     if bytes[3] > VERSION {
-        return Err(Dropped::Future);
+        return Err(DropReason::Future);
     }
     if bytes[3] != VERSION {
-        return Err(Dropped::Unreadable);
+        return Err(DropReason::Unreadable);
     }
     let signed = bytes[4] & 1 == 1;
     let body_end = match (signed, key) {
         (true, Some(key)) => {
-            let end = bytes.len().checked_sub(TAG).ok_or(Dropped::Unreadable)?;
+            let end = bytes.len().checked_sub(TAG_BYTES).ok_or(DropReason::Unreadable)?;
             if end < 5 || !key.verify(&bytes[..end], &bytes[end..]) {
-                return Err(Dropped::BadTag);
+                return Err(DropReason::BadTag);
             }
             end
         }
         (false, None) => bytes.len(),
-        _ => return Err(Dropped::BadTag),
+        _ => return Err(DropReason::BadTag),
     };
     let mut reader = Reader { bytes: &bytes[..body_end], at: 5 };
     if reader.text()? != cluster {
-        return Err(Dropped::OtherCluster);
+        return Err(DropReason::OtherCluster);
     }
     let from = reader.identity()?;
     let seq = reader.u64()?;
@@ -265,46 +267,48 @@
             Body::Sync { reply: flags & 1 == 1, last: flags & 2 == 2 }
         }
         5 => Body::Gossip,
-        6 => Body::Ask(Wanted { edition: reader.edition()?, first: reader.u16()?, mask: reader.u8()? }),
+        6 => {
+            Body::ListRequest(Wanted { edition: reader.edition()?, first: reader.u16()?, mask: reader.u8()? })
+        }
         7 => {
             let (edition, index, count) = (reader.edition()?, reader.u16()?, reader.u16()?);
             let length = usize::from(reader.u16()?);
             if length > PIECE {
-                return Err(Dropped::Unreadable);
+                return Err(DropReason::Unreadable);
             }
-            Body::Piece { edition, index, count, bytes: reader.take(length)?.to_vec() }
+            Body::ListPiece { edition, index, count, bytes: reader.take(length)?.to_vec() }
         }
         8 => {
             let (digest, index, count) = (reader.u64()?, reader.u8()?, reader.u8()?);
             let length = usize::from(reader.u16()?);
             if length > PART {
-                return Err(Dropped::Unreadable);
+                return Err(DropReason::Unreadable);
             }
-            Body::Part(Part { digest, index, count, bytes: reader.take(length)?.to_vec() })
+            Body::MaintenancePart(Part { digest, index, count, bytes: reader.take(length)?.to_vec() })
         }
-        _ => return Err(Dropped::Unreadable),
+        _ => return Err(DropReason::Unreadable),
     };
     let count = reader.u8()?;
     let mut entries = Vec::with_capacity(usize::from(count));
     for _ in 0..count {
         let id = reader.identity()?;
         let incarnation = reader.u32()?;
-        if incarnation > MOST_INCARNATION {
-            return Err(Dropped::Unreadable);
+        if incarnation > MAX_INCARNATION {
+            return Err(DropReason::Unreadable);
         }
         let state = match reader.u8()? {
             0 => State::Alive,
             1 => State::Suspect,
             2 => State::Dead,
             3 => State::Left,
-            _ => return Err(Dropped::Unreadable),
+            _ => return Err(DropReason::Unreadable),
         };
         let accuser =
             if state == State::Suspect { Some(reader.text()?).filter(|name| !name.is_empty()) } else { None };
         entries.push(Entry { id, incarnation, state, accuser });
     }
     if reader.at != reader.bytes.len() {
-        return Err(Dropped::Unreadable);
+        return Err(DropReason::Unreadable);
     }
     Ok(Packet { from, seq, holding, body, entries })
 }
@@ -371,13 +375,13 @@
             out.push(u8::from(*reply) | (u8::from(*last) << 1));
         }
         Body::Gossip => out.push(5),
-        Body::Ask(Wanted { edition, first, mask }) => {
+        Body::ListRequest(Wanted { edition, first, mask }) => {
             out.push(6);
             put_edition(out, *edition);
             out.extend_from_slice(&first.to_be_bytes());
             out.push(*mask);
         }
-        Body::Piece { edition, index, count, bytes } => {
+        Body::ListPiece { edition, index, count, bytes } => {
             out.push(7);
             put_edition(out, *edition);
             for number in [*index, *count, bytes.len() as u16] {
@@ -385,7 +389,7 @@
             }
             out.extend_from_slice(bytes);
         }
-        Body::Part(Part { digest, index, count, bytes }) => {
+        Body::MaintenancePart(Part { digest, index, count, bytes }) => {
             out.push(8);
             out.extend_from_slice(&digest.to_be_bytes());
             out.extend([*index, *count]);
@@ -405,7 +409,7 @@
     if let Some(Holding { edition, digest, age }) = holding {
         put_edition(out, *edition);
         out.extend_from_slice(&digest.to_be_bytes());
-        let age = u16::try_from(age.0 / AGE_UNIT).unwrap_or(u16::MAX);
+        let age = u16::try_from(age.0 / AGE_UNIT_MICROS).unwrap_or(u16::MAX);
         out.extend_from_slice(&age.to_be_bytes());
     }
 }
@@ -416,63 +420,64 @@
 }
 
 impl Reader<'_> {
-    fn take(&mut self, n: usize) -> Result<&[u8], Dropped> {
-        let end = self.at.checked_add(n).filter(|end| *end <= self.bytes.len()).ok_or(Dropped::Unreadable)?;
+    fn take(&mut self, n: usize) -> Result<&[u8], DropReason> {
+        let end =
+            self.at.checked_add(n).filter(|end| *end <= self.bytes.len()).ok_or(DropReason::Unreadable)?;
         let taken = &self.bytes[self.at..end];
         self.at = end;
         Ok(taken)
     }
 
-    fn u8(&mut self) -> Result<u8, Dropped> {
+    fn u8(&mut self) -> Result<u8, DropReason> {
         Ok(self.take(1)?[0])
     }
 
-    fn u16(&mut self) -> Result<u16, Dropped> {
+    fn u16(&mut self) -> Result<u16, DropReason> {
         Ok(u16::from_be_bytes(self.take(2)?.try_into().expect("two bytes")))
     }
 
-    fn u32(&mut self) -> Result<u32, Dropped> {
+    fn u32(&mut self) -> Result<u32, DropReason> {
         Ok(u32::from_be_bytes(self.take(4)?.try_into().expect("four bytes")))
     }
 
-    fn u64(&mut self) -> Result<u64, Dropped> {
+    fn u64(&mut self) -> Result<u64, DropReason> {
         Ok(u64::from_be_bytes(self.take(8)?.try_into().expect("eight bytes")))
     }
 
-    fn text(&mut self) -> Result<String, Dropped> {
+    fn text(&mut self) -> Result<String, DropReason> {
         let len = usize::from(self.u8()?);
         if len > MAX_NAME {
-            return Err(Dropped::Unreadable);
+            return Err(DropReason::Unreadable);
         }
         let bytes = self.take(len)?;
-        String::from_utf8(bytes.to_vec()).map_err(|_| Dropped::Unreadable)
+        String::from_utf8(bytes.to_vec()).map_err(|_| DropReason::Unreadable)
     }
 
-    fn edition(&mut self) -> Result<Edition, Dropped> {
+    fn edition(&mut self) -> Result<Edition, DropReason> {
         Ok(Edition { epoch: self.u32()?, generation: self.u64()? })
     }
 
-    fn holding(&mut self) -> Result<Option<Holding>, Dropped> {
+    fn holding(&mut self) -> Result<Option<Holding>, DropReason> {
         match self.u8()? {
             0 => Ok(None),
             1 => {
                 let (edition, digest) = (self.edition()?, self.u64()?);
-                let age = Micros(u64::from(self.u16()?) * AGE_UNIT);
+                let age = Micros(u64::from(self.u16()?) * AGE_UNIT_MICROS);
                 Ok(Some(Holding { edition, digest, age }))
             }
-            _ => Err(Dropped::Unreadable),
+            _ => Err(DropReason::Unreadable),
         }
     }
 
-    fn identity(&mut self) -> Result<Identity, Dropped> {
+    fn identity(&mut self) -> Result<Identity, DropReason> {
         let name = self.text()?;
         if name.is_empty() {
-            return Err(Dropped::Unreadable);
+            return Err(DropReason::Unreadable);
         }
         let ip = match self.u8()? {
             4 => IpAddr::V4(Ipv4Addr::from(<[u8; 4]>::try_from(self.take(4)?).expect("four bytes"))),
             6 => IpAddr::V6(Ipv6Addr::from(<[u8; 16]>::try_from(self.take(16)?).expect("sixteen bytes"))),
-            _ => return Err(Dropped::Unreadable),
+            _ => return Err(DropReason::Unreadable),
         };
         let port = self.u16()?;
         let generation = self.u64()?;
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -8,7 +8,7 @@
 use crate::maintenance::register::{Acceptor, Message};
 use crate::maintenance::request::{self, Fleet};
 use crate::maintenance::{kept, Fence};
-use crate::membership::{self, Node, State, View};
+use crate::membership::{self, MemberCounts, Node, State};
 use crate::startup::digest;
 use crate::Micros;
 use serde_json::json;
@@ -61,7 +61,7 @@
     }
 
     fn counts(&self) -> (u32, u32) {
-        let View { alive, suspect, dead, .. } = self.0.view();
+        let MemberCounts { alive, suspect, dead, .. } = self.0.counts();
         ((alive + suspect + dead) as u32, alive as u32)
     }
 }
@@ -123,7 +123,7 @@
             Asked::Round(body) => {
                 let live = node.members().filter(|seen| seen.state == State::Alive).map(|seen| seen.id.name);
                 let alive = live.chain([node.me().name.clone()]).collect();
-                let View { alive: up, suspect, dead, .. } = node.view();
+                let MemberCounts { alive: up, suspect, dead, .. } = node.counts();
                 let fleet = Fleet { alive, all: up + suspect + dead };
                 match request::read(&body, &fleet, self.agent.ledger().0, now) {
                     Ok(round) => Change::Ask(round),
@@ -193,7 +193,7 @@
             );
         };
         self.sent += parts.len() as u64;
-        parts.into_iter().for_each(|part| node.part(now, name, part, out));
+        parts.into_iter().for_each(|part| node.send_maintenance_part(now, name, part, out));
     }
 
     /// To the disk, before any word on it leaves; tells whether it is there.
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -6,9 +6,9 @@
 use super::poll::{Peer, Poll};
 use crate::config::members::Membership;
 use crate::maintenance::agent::{Facts, Mine};
-use crate::membership::share::{Rules, Shares, Standing};
-use crate::membership::wire::{Dropped, Key, MAX_DATAGRAM};
-use crate::membership::{Change, Identity, Node, Output, State, View};
+use crate::membership::share::{ShareSettings, Shares, ViewStatus};
+use crate::membership::wire::{DropReason, Key, MAX_DATAGRAM};
+use crate::membership::{Identity, MemberCounts, Node, Output, State, StateChange};
 use crate::startup::kept::{self, Kept};
 use crate::startup::lists::{Came, Lists};
 use crate::startup::ramp::{Among, STARTING};
@@ -59,7 +59,7 @@
     /// Datagrams that the system did not take.
     unsent: u64,
     outputs: Vec<Output>,
-    view: View,
+    view: MemberCounts,
     /// This one among the members that started lately.
     among: Among,
     lists: Lists,
@@ -124,8 +124,8 @@
         let floor = siblings.max(u32::try_from(before).unwrap_or(u32::MAX));
         log!("membership: {} of cluster {} at {}", me.name, told.cluster, me.address);
         let node = Node::new(me, &told.cluster, key, told.settings(), seeds, seed ^ now.0, now);
-        let shares = Shares::new(Rules { floor, ..Rules::default() }, now);
-        let view = node.view();
+        let shares = Shares::new(ShareSettings { min_divisor: floor, ..ShareSettings::default() }, now);
+        let view = node.counts();
         let (folder, kept) = (folder.to_owned(), (None, now));
         Members {
             socket,
@@ -165,18 +165,18 @@
         let outputs = std::mem::take(&mut self.outputs);
         for output in outputs.into_iter() {
             match output {
-                Output::Holds(from, holding) => self.lists.told(now, from, holding),
-                Output::Asked(to, wanted) => {
+                Output::ListAnnounced(from, holding) => self.lists.told(now, from, holding),
+                Output::ListRequested(to, wanted) => {
                     for (index, count, bytes) in self.lists.give(now, wanted) {
                         let which = (wanted.edition, index, count);
-                        self.node.give(now, to, which, bytes, &mut self.outputs);
+                        self.node.send_list_piece(now, to, which, bytes, &mut self.outputs);
                     }
                 }
-                Output::Piece { from, edition, index, count, bytes } => {
+                Output::ListPiece { from, edition, index, count, bytes } => {
                     let which = (edition, usize::from(index), usize::from(count));
                     match self.lists.piece(now, from, which, &bytes) {
                         Came::Nothing => {}
-                        Came::Ask(to, wanted) => self.node.ask(now, to, wanted, &mut self.outputs),
+                        Came::Ask(to, wanted) => self.node.request_list_pieces(now, to, wanted, &mut self.outputs),
                         Came::Whole(edition, bytes) => self.came = Some((edition, bytes)),
                         Came::Torn(from) => log!("membership: the list that {from} gave is not what it announced: not taken, another member is asked"),
                     }
@@ -186,37 +186,37 @@
                     changed = true;
                     self.tell(change);
                 }
-                Output::Part(from, part) => {
+                Output::MaintenancePart(from, part) => {
                     self.maintenance.iter_mut().for_each(|one| one.hear(now, &from, part.clone()));
                 }
-                Output::Namesake(other) => {
+                Output::NameConflict(other) => {
                     let (name, at) = (&other.name, other.address);
                     log!("membership: another forwarder at {at} goes by the name {name}: give each its own");
                 }
-                Output::Renewed(generation) => {
+                Output::GenerationRaised(generation) => {
                     log!("membership: the others know a later start of this one: going on as generation {generation}")
                 }
             }
         }
-        self.view = self.node.view();
+        self.view = self.node.counts();
         if changed {
             self.lists.view(now, self.node.live_names());
-            self.among = self.node.among_started(now.minus(STARTING).0);
+            self.among = self.node.rank_among_started(now.minus(STARTING).0);
         }
         if let Some((to, wanted)) = self.lists.tick(now) {
-            self.node.ask(now, to, wanted, &mut self.outputs);
+            self.node.request_list_pieces(now, to, wanted, &mut self.outputs);
         }
         // Requests and pieces leave in this turn.
         self.flush();
-        self.node.hold(self.lists.holding());
+        self.node.set_list(self.lists.holding());
         self.keep(now);
         if let Some(standing) = self.shares.observe(now, self.view) {
-            let View { alive, suspect, dead, left } = self.view;
+            let MemberCounts { alive, suspect, dead, left } = self.view;
             let divisor = self.shares.target_divisor();
             let why = match standing {
-                Standing::Young => "young: the settings' number is the least",
-                Standing::Whole => "whole",
-                Standing::Doubtful => "doubtful, likely a cut: no share rises",
+                ViewStatus::Young => "young: the settings' number is the least",
+                ViewStatus::Whole => "whole",
+                ViewStatus::Doubtful => "doubtful, likely a cut: no share rises",
             };
             log!(
                 "membership: the view is {why}: {alive} alive, {suspect} suspect, {dead} dead, {left} left; shared \
@@ -331,9 +331,9 @@
         }
     }
 
-    fn tell(&mut self, Change { id, incarnation, from, to, cause }: Change) {
+    fn tell(&mut self, StateChange { id, incarnation, from, to, cause }: StateChange) {
         if to == State::Left {
-            self.shares.left();
+            self.shares.record_departure();
         }
         let (name, at, generation) = (id.name, id.address, id.generation);
         let from = from.map_or("unknown", State::name);
@@ -345,7 +345,7 @@
     pub fn due(&self, now: Micros) -> Micros {
         let lists = self.lists.due(now).unwrap_or(Micros(u64::MAX));
         let maintenance = self.maintenance.as_ref().map_or(Micros(u64::MAX), Maintenance::due);
-        self.node.next_wake().min(self.shares.due()).min(lists).min(maintenance)
+        self.node.next_wake().min(self.shares.next_wake()).min(lists).min(maintenance)
     }
 
     /// The process is to end: says goodbye.
@@ -375,13 +375,13 @@
     /// Figures for operators' staff.
     pub fn figures(&self, now: Micros) -> serde_json::Value {
         let stats = self.node.stats();
-        let dropped = Dropped::ALL.iter().zip(stats.dropped);
+        let dropped = DropReason::ALL.iter().zip(stats.dropped);
         let dropped: serde_json::Map<_, _> =
             dropped.map(|(cause, count)| (cause.name().to_owned(), count.into())).collect();
-        let View { alive, suspect, dead, left } = self.view;
+        let MemberCounts { alive, suspect, dead, left } = self.view;
         json!({
             "alive": alive, "suspect": suspect, "dead": dead, "left": left,
-            "view": self.shares.standing().name(),
+            "view": self.shares.view_status().name(),
             "divisor": (self.shares.divisor(now) * 1e3).round() / 1e3,
             "last_whole": self.shares.last_whole(),
             "health": self.node.health(),
@@ -426,9 +426,9 @@
                 "state": seen.state.name(), "since_s": ago(seen.since), "heard_s": seen.heard.map(ago),
             })
         }));
-        let View { alive, suspect, dead, left } = self.view;
+        let MemberCounts { alive, suspect, dead, left } = self.view;
         json!({
-            "view": self.shares.standing().name(), "alive": alive, "suspect": suspect, "dead": dead,
+            "view": self.shares.view_status().name(), "alive": alive, "suspect": suspect, "dead": dead,
             "left": left, "members": all,
         })
     }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -227,16 +227,16 @@
             true => (Edition { epoch: 0, generation: 98 }, digest(&foreign), &foreign),
             false => (Edition { epoch: 0, generation: 99 }, 12345, &torn),
         };
-        liar.hold(Some((edition, sum, Some(now))));
+        liar.set_list(Some((edition, sum, Some(now))));
         let (mut out, mut buffer) = (Vec::new(), [0; 2048]);
         if let Ok((length, from)) = socket.recv_from(&mut buffer) {
             liar.receive(now, from, &buffer[..length], &mut out);
         }
         liar.tick(now, &mut out);
         for output in std::mem::take(&mut out) {
-            if let Output::Asked(to, wanted) = output {
+            if let Output::ListRequested(to, wanted) = output {
                 given += 1;
-                liar.give(now, to, (wanted.edition, 0, 1), bytes, &mut out);
+                liar.send_list_piece(now, to, (wanted.edition, 0, 1), bytes, &mut out);
             } else if let Output::Send { to, bytes } = output {
                 let _ = socket.send_to(&bytes, to);
             }
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -2,7 +2,7 @@
 //! (`cedarwharf::membership::rules`), what is modelled is the world around them. Words are lost, repeated and reordered at
 //! will; members are cut from each other, crash, leave, and notice all of that one by one or not at all.
 
-use cedarwharf::membership::rules::{divisor, refutes, supersedes, Belief, Divisor};
+use cedarwharf::membership::rules::{divisor, refuting_incarnation, supersedes, Belief, Divisor};
 use cedarwharf::membership::State::{self, Alive, Dead, Left, Suspect};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -90,7 +90,7 @@
                 }
             }
             Step::HearSelf(word) => {
-                next.own = refutes(talk.own, word)?;
+                next.own = refuting_incarnation(talk.own, word)?;
                 next.words.insert(belief(next.own, Alive));
             }
             Step::Crash => next.runs = false,
@@ -122,7 +122,8 @@
             }),
             Property::always("once all is heard, nobody holds a running member dead", |_, talk: &Talk| {
                 let unheard = talk.held.iter().any(|&held| talk.words.iter().any(|&w| supersedes(held, w)));
-                let unanswered = talk.words.iter().any(|&word| refutes(talk.own, word).is_some());
+                let unanswered =
+                    talk.words.iter().any(|&word| refuting_incarnation(talk.own, word).is_some());
                 !talk.runs || unheard || unanswered || talk.held.iter().all(|held| held.state != Dead)
             }),
             Property::always("who has left is not dead once that is heard", |_, talk: &Talk| {
