--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -75,7 +75,7 @@
 /// implementation, with a shorter protocol period (see `docs/membership.md`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The protocol period; each sends one probe.
+    /// The protocol period, in which one probe is sent.
     pub probe_interval: Micros,
     /// How long a direct probe waits for its ack before indirect probes are requested.
     pub probe_timeout: Micros,
@@ -93,8 +93,8 @@
     pub gossip_fanout: usize,
     /// Interval of the gossip-only datagrams. The first update after an idle time is sent at once.
     pub gossip_interval: Micros,
-    /// Maximum of Lifeguard's local health score. Period and timeout grow up to `(max_local_health + 1)` times
-    /// their length.
+    /// Maximum of Lifeguard's local health score. Period and timeout grow up to `(max_local_health + 1)`
+    /// times their length.
     pub max_local_health: u32,
     /// Interval of the anti-entropy sync of the full state with one random member.
     pub sync_interval: Micros,
@@ -103,8 +103,8 @@
     pub reap_after: Micros,
     /// Interval of the pings to one random dead member, which detect a healed partition.
     pub reconnect_interval: Micros,
-    /// Initial interval of join requests to the seeds while no other member is known; it doubles up to 16
-    /// times.
+    /// Initial interval of join requests to the seeds while no other member is known. It doubles up to 16
+    /// times its initial length.
     pub join_retry: Micros,
 }
 
--- a/src/membership/protocol.rs
+++ b/src/membership/protocol.rs
@@ -163,12 +163,12 @@
         let writer = PacketWriter::new(cluster, &me, key.clone());
         let mut rng = fastrand::Rng::with_seed(seed);
         // The first period begins at a random moment, so that members started together do not probe in step.
-        let first = Micros(rng.u64(0..=settings.probe_interval.0));
+        let first_period = Micros(rng.u64(0..=settings.probe_interval.0));
         let next_reconnect = now.plus(Micros(rng.u64(0..=settings.reconnect_interval.0)));
         let seeds = seeds.into_iter().filter(|seed| *seed != me.address).collect();
         Node {
             next_sync: now.plus(Micros(rng.u64(settings.sync_interval.0 / 2..=settings.sync_interval.0))),
-            next_period: now.plus(first),
+            next_period: now.plus(first_period),
             me,
             incarnation: 0,
             settings,
--- a/src/membership/protocol/probing.rs
+++ b/src/membership/protocol/probing.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Node {
+    /// Handles an expired timer.
     pub(super) fn on_timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::ProbeTimeout(seq) => {
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -1,42 +1,43 @@
-//! The safety that `docs/membership.md` claims, explored in every order by a model checker: the rules are the program's own
-//! (`cedarwharf::membership::rules`), what is modelled is the world around them. Words are lost, repeated and reordered at
-//! will; members are cut from each other, crash, leave, and notice all of that one by one or not at all.
+//! Model checks of the safety properties that `docs/membership.md` states, in every order of events. The
+//! rules are the program's own (`cedarwharf::membership::rules`); the models supply their environment.
+//! Updates are lost, repeated and reordered arbitrarily; members are partitioned, crash, leave, and notice
+//! this one by one or never.
 
 use cedarwharf::membership::rules::{divisor, refuting_incarnation, supersedes, Belief, Divisor};
 use cedarwharf::membership::State::{self, Alive, Dead, Left, Suspect};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// One member, and others that hold words of it.
-struct Words {
-    holders: usize,
-    most: u32,
+/// One member, and observers that record its state from updates.
+struct Refutation {
+    observers: usize,
+    max_incarnation: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Talk {
+struct RefutationState {
     own: u32,
-    /// The member runs; else it has crashed, or has left.
-    runs: bool,
+    /// Whether the member runs. Otherwise it has crashed or left.
+    running: bool,
     left: bool,
-    held: Vec<Belief>,
-    /// The highest incarnation that a holder has seen alive: a ghost, for the claim.
-    seen_alive: Vec<u32>,
-    /// The highest incarnation that a holder has held dead, and one more: another ghost.
-    seen_dead: Vec<u32>,
-    /// Words ever sent: any of them may come at any time, again, or never.
-    words: BTreeSet<Belief>,
+    recorded: Vec<Belief>,
+    /// The highest incarnation that each observer has recorded as alive; only the properties use it.
+    max_alive: Vec<u32>,
+    /// The highest incarnation that each observer has recorded as dead, plus one; only the properties use it.
+    dead_below: Vec<u32>,
+    /// All updates sent so far. Each may arrive at any time, repeatedly, or never.
+    updates: BTreeSet<Belief>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    /// A holder's probes fail.
-    Doubt(usize),
-    /// A holder's suspicion times out.
-    Declare(usize),
-    Hear(usize, Belief),
-    /// The member hears what is said of it.
-    HearSelf(Belief),
+enum RefutationEvent {
+    /// An observer's probe fails.
+    Suspect(usize),
+    /// An observer's suspicion times out.
+    DeclareDead(usize),
+    Receive(usize, Belief),
+    /// The member receives an update about itself.
+    ReceiveOwn(Belief),
     Crash,
     Leave,
 }
@@ -45,211 +46,253 @@
     Belief { incarnation, state }
 }
 
-impl Model for Words {
-    type State = Talk;
-    type Action = Step;
+impl Model for Refutation {
+    type State = RefutationState;
+    type Action = RefutationEvent;
 
-    fn init_states(&self) -> Vec<Talk> {
-        let held = vec![belief(0, Alive); self.holders];
-        let (seen_alive, seen_dead) = (vec![0; self.holders], vec![0; self.holders]);
-        vec![Talk { own: 0, runs: true, left: false, held, seen_alive, seen_dead, words: BTreeSet::new() }]
+    fn init_states(&self) -> Vec<RefutationState> {
+        let recorded = vec![belief(0, Alive); self.observers];
+        let (max_alive, dead_below) = (vec![0; self.observers], vec![0; self.observers]);
+        vec![RefutationState {
+            own: 0,
+            running: true,
+            left: false,
+            recorded,
+            max_alive,
+            dead_below,
+            updates: BTreeSet::new(),
+        }]
     }
 
-    fn actions(&self, talk: &Talk, out: &mut Vec<Step>) {
-        for (holder, held) in talk.held.iter().enumerate() {
-            match held.state {
-                Alive => out.push(Step::Doubt(holder)),
-                Suspect => out.push(Step::Declare(holder)),
+    fn actions(&self, state: &RefutationState, out: &mut Vec<RefutationEvent>) {
+        for (observer, recorded) in state.recorded.iter().enumerate() {
+            match recorded.state {
+                Alive => out.push(RefutationEvent::Suspect(observer)),
+                Suspect => out.push(RefutationEvent::DeclareDead(observer)),
                 Dead | Left => {}
             }
-            out.extend(talk.words.iter().map(|&word| Step::Hear(holder, word)));
+            out.extend(state.updates.iter().map(|&update| RefutationEvent::Receive(observer, update)));
         }
-        if talk.runs {
-            out.extend(talk.words.iter().map(|&word| Step::HearSelf(word)));
-            out.extend([Step::Crash, Step::Leave]);
+        if state.running {
+            out.extend(state.updates.iter().map(|&update| RefutationEvent::ReceiveOwn(update)));
+            out.extend([RefutationEvent::Crash, RefutationEvent::Leave]);
         }
     }
 
-    fn next_state(&self, talk: &Talk, step: Step) -> Option<Talk> {
-        let mut next = talk.clone();
-        match step {
-            Step::Doubt(holder) => {
-                next.held[holder].state = Suspect;
-                next.words.insert(next.held[holder]);
+    fn next_state(&self, state: &RefutationState, event: RefutationEvent) -> Option<RefutationState> {
+        let mut next = state.clone();
+        match event {
+            RefutationEvent::Suspect(observer) => {
+                next.recorded[observer].state = Suspect;
+                next.updates.insert(next.recorded[observer]);
             }
-            Step::Declare(holder) => {
-                next.held[holder].state = Dead;
-                next.words.insert(next.held[holder]);
+            RefutationEvent::DeclareDead(observer) => {
+                next.recorded[observer].state = Dead;
+                next.updates.insert(next.recorded[observer]);
             }
-            Step::Hear(holder, word) => {
-                if supersedes(talk.held[holder], word) {
-                    next.held[holder] = word;
-                    if word.state == Alive {
-                        next.seen_alive[holder] = next.seen_alive[holder].max(word.incarnation);
+            RefutationEvent::Receive(observer, update) => {
+                if supersedes(state.recorded[observer], update) {
+                    next.recorded[observer] = update;
+                    if update.state == Alive {
+                        next.max_alive[observer] = next.max_alive[observer].max(update.incarnation);
                     }
                 }
             }
-            Step::HearSelf(word) => {
-                next.own = refuting_incarnation(talk.own, word)?;
-                next.words.insert(belief(next.own, Alive));
+            RefutationEvent::ReceiveOwn(update) => {
+                next.own = refuting_incarnation(state.own, update)?;
+                next.updates.insert(belief(next.own, Alive));
             }
-            Step::Crash => next.runs = false,
-            Step::Leave => {
-                (next.runs, next.left) = (false, true);
-                next.words.insert(belief(next.own, Left));
+            RefutationEvent::Crash => next.running = false,
+            RefutationEvent::Leave => {
+                (next.running, next.left) = (false, true);
+                next.updates.insert(belief(next.own, Left));
             }
         }
-        for (dead, held) in next.seen_dead.iter_mut().zip(&next.held) {
-            if held.state == Dead {
-                *dead = (*dead).max(held.incarnation + 1);
+        for (dead, recorded) in next.dead_below.iter_mut().zip(&next.recorded) {
+            if recorded.state == Dead {
+                *dead = (*dead).max(recorded.incarnation + 1);
             }
         }
-        (next != *talk).then_some(next)
+        (next != *state).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("who refuted is not dead at an incarnation before", |_, talk: &Talk| {
-                let pairs = talk.held.iter().zip(&talk.seen_alive);
-                pairs.into_iter().all(|(held, &alive)| held.state != Dead || held.incarnation >= alive)
-            }),
-            Property::always("who is dead stays so but for a higher incarnation", |_, talk: &Talk| {
-                let pairs = talk.held.iter().zip(&talk.seen_dead);
-                pairs.into_iter().all(|(held, &dead)| !held.state.live() || held.incarnation >= dead)
-            }),
-            Property::always("an incarnation is the member's own: it only grows", |_, talk: &Talk| {
-                talk.held.iter().chain(&talk.words).all(|word| word.incarnation <= talk.own)
-            }),
-            Property::always("once all is heard, nobody holds a running member dead", |_, talk: &Talk| {
-                let unheard = talk.held.iter().any(|&held| talk.words.iter().any(|&w| supersedes(held, w)));
-                let unanswered =
-                    talk.words.iter().any(|&word| refuting_incarnation(talk.own, word).is_some());
-                !talk.runs || unheard || unanswered || talk.held.iter().all(|held| held.state != Dead)
-            }),
-            Property::always("who has left is not dead once that is heard", |_, talk: &Talk| {
-                let heard = |held: &Belief| !supersedes(*held, belief(talk.own, Left));
-                !talk.left || talk.held.iter().all(|held| !heard(held) || held.state == Left)
-            }),
-            // The claims above say something only where these happen.
-            Property::sometimes("a running member is held dead for a while", |_, talk: &Talk| {
-                talk.runs && talk.held.iter().all(|held| held.state == Dead)
-            }),
-            Property::sometimes("it is alive again everywhere after that", |_, talk: &Talk| {
-                let again = talk.held.iter().all(|held| held.state == Alive && held.incarnation > 0);
-                again && talk.words.iter().any(|word| word.state == Dead)
+            Property::always(
+                "a refuted death at a lower incarnation is not recorded again",
+                |_, state: &RefutationState| {
+                    let pairs = state.recorded.iter().zip(&state.max_alive);
+                    pairs
+                        .into_iter()
+                        .all(|(recorded, &alive)| recorded.state != Dead || recorded.incarnation >= alive)
+                },
+            ),
+            Property::always(
+                "a dead member is revived only by a higher incarnation",
+                |_, state: &RefutationState| {
+                    let pairs = state.recorded.iter().zip(&state.dead_below);
+                    pairs
+                        .into_iter()
+                        .all(|(recorded, &dead)| !recorded.state.live() || recorded.incarnation >= dead)
+                },
+            ),
+            Property::always("no incarnation is above the member's own", |_, state: &RefutationState| {
+                state.recorded.iter().chain(&state.updates).all(|update| update.incarnation <= state.own)
             }),
+            Property::always(
+                "once all updates arrived, no observer records a running member as dead",
+                |_, state: &RefutationState| {
+                    let pending = state
+                        .recorded
+                        .iter()
+                        .any(|&recorded| state.updates.iter().any(|&update| supersedes(recorded, update)));
+                    let unanswered =
+                        state.updates.iter().any(|&update| refuting_incarnation(state.own, update).is_some());
+                    !state.running
+                        || pending
+                        || unanswered
+                        || state.recorded.iter().all(|recorded| recorded.state != Dead)
+                },
+            ),
+            Property::always(
+                "a departed member is not recorded as dead once its departure is known",
+                |_, state: &RefutationState| {
+                    let informed = |recorded: &Belief| !supersedes(*recorded, belief(state.own, Left));
+                    !state.left
+                        || state.recorded.iter().all(|recorded| !informed(recorded) || recorded.state == Left)
+                },
+            ),
+            // The properties above are meaningful only if these situations occur.
+            Property::sometimes(
+                "every observer records a running member as dead",
+                |_, state: &RefutationState| {
+                    state.running && state.recorded.iter().all(|recorded| recorded.state == Dead)
+                },
+            ),
+            Property::sometimes(
+                "every observer records the member as alive again after that",
+                |_, state: &RefutationState| {
+                    let revived = state
+                        .recorded
+                        .iter()
+                        .all(|recorded| recorded.state == Alive && recorded.incarnation > 0);
+                    revived && state.updates.iter().any(|update| update.state == Dead)
+                },
+            ),
         ]
     }
 
-    fn within_boundary(&self, talk: &Talk) -> bool {
-        talk.own <= self.most
+    fn within_boundary(&self, state: &RefutationState) -> bool {
+        state.own <= self.max_incarnation
     }
 }
 
 #[test]
-fn a_refuted_word_never_kills_and_incarnations_only_grow() {
-    for words in [Words { holders: 2, most: 3 }, Words { holders: 3, most: 2 }] {
-        let checker = words.checker().threads(4).spawn_bfs().join();
+fn refuted_updates_never_cause_a_death_and_incarnations_only_grow() {
+    for model in
+        [Refutation { observers: 2, max_incarnation: 3 }, Refutation { observers: 3, max_incarnation: 2 }]
+    {
+        let checker = model.checker().threads(4).spawn_bfs().join();
         println!("{} states", checker.unique_state_count());
         checker.assert_properties();
     }
 }
 
-/// Members that share a limit; each has its own count of who is there. Members of one group are alike but for what they
-/// have noticed: states are kept sorted.
-struct Cuts {
+/// Members that share a limit, each with its own live count. Members of one side of a partition differ only
+/// in what they have noticed, so states are kept sorted.
+struct PartitionShares {
     members: usize,
     groups: usize,
 }
 
-/// What a member counts as live, and its last whole view.
-type Seen = (u8, u8);
+/// The live count of a member, and the live count when its view was last whole.
+type Counts = (u8, u8);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Parted {
-    groups: Vec<Vec<Seen>>,
+struct Partitions {
+    groups: Vec<Vec<Counts>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Event {
-    /// Some of a group, by a mask of places, are cut from the rest.
+enum PartitionEvent {
+    /// The members of a group whose bit is set in the mask are cut from the others.
     Cut(usize, u32),
     Heal(usize, usize),
-    /// A member notices one that it does not reach any more, or one that it reaches again.
+    /// A member notices that it lost or regained contact with one other member.
     Notice(usize, usize),
     Crash(usize, usize),
 }
 
-impl Cuts {
-    fn divisor(&self, (live, last_whole): Seen) -> Divisor {
-        // Nobody is forgotten: the dead are known for longer than a row of cuts takes.
+impl PartitionShares {
+    fn divisor(&self, (live, last_whole): Counts) -> Divisor {
+        // No member is forgotten: dead members are remembered for longer than a series of partitions takes.
         divisor(live.into(), self.members, last_whole.into(), false)
     }
 
-    fn share(&self, seen: Seen) -> f64 {
-        let (Divisor::Whole(all) | Divisor::Doubtful(all)) = self.divisor(seen);
+    fn share(&self, counts: Counts) -> f64 {
+        let (Divisor::Whole(all) | Divisor::Doubtful(all)) = self.divisor(counts);
         1.0 / all as f64
     }
 
-    fn sum(&self, parted: &Parted) -> f64 {
-        parted.groups.iter().flatten().map(|&seen| self.share(seen)).sum()
+    fn sum(&self, partitions: &Partitions) -> f64 {
+        partitions.groups.iter().flatten().map(|&counts| self.share(counts)).sum()
     }
 
-    fn settled(parted: &Parted) -> bool {
-        parted.groups.iter().all(|group| group.iter().all(|seen| usize::from(seen.0) == group.len()))
+    fn all_noticed(partitions: &Partitions) -> bool {
+        partitions.groups.iter().all(|group| group.iter().all(|counts| usize::from(counts.0) == group.len()))
     }
 }
 
-impl Model for Cuts {
-    type State = Parted;
-    type Action = Event;
+impl Model for PartitionShares {
+    type State = Partitions;
+    type Action = PartitionEvent;
 
-    fn init_states(&self) -> Vec<Parted> {
+    fn init_states(&self) -> Vec<Partitions> {
         let all = self.members as u8;
-        vec![Parted { groups: vec![vec![(all, all); self.members]] }]
+        vec![Partitions { groups: vec![vec![(all, all); self.members]] }]
     }
 
-    fn actions(&self, parted: &Parted, out: &mut Vec<Event>) {
-        for (place, group) in parted.groups.iter().enumerate() {
-            if parted.groups.len() < self.groups {
-                out.extend((1..(1u32 << group.len()) - 1).map(|mask| Event::Cut(place, mask)));
+    fn actions(&self, partitions: &Partitions, out: &mut Vec<PartitionEvent>) {
+        for (index, group) in partitions.groups.iter().enumerate() {
+            if partitions.groups.len() < self.groups {
+                out.extend((1..(1u32 << group.len()) - 1).map(|mask| PartitionEvent::Cut(index, mask)));
             }
-            out.extend((place + 1..parted.groups.len()).map(|other| Event::Heal(place, other)));
-            for (member, seen) in group.iter().enumerate() {
-                if usize::from(seen.0) != group.len() {
-                    out.push(Event::Notice(place, member));
+            out.extend((index + 1..partitions.groups.len()).map(|other| PartitionEvent::Heal(index, other)));
+            for (member, counts) in group.iter().enumerate() {
+                if usize::from(counts.0) != group.len() {
+                    out.push(PartitionEvent::Notice(index, member));
                 }
-                out.push(Event::Crash(place, member));
+                out.push(PartitionEvent::Crash(index, member));
             }
         }
     }
 
-    fn next_state(&self, parted: &Parted, event: Event) -> Option<Parted> {
-        let mut next = parted.clone();
+    fn next_state(&self, partitions: &Partitions, event: PartitionEvent) -> Option<Partitions> {
+        let mut next = partitions.clone();
         match event {
-            Event::Cut(place, mask) => {
-                let group = next.groups.swap_remove(place);
+            PartitionEvent::Cut(index, mask) => {
+                let group = next.groups.swap_remove(index);
                 let (mut one, mut other) = (Vec::new(), Vec::new());
-                for (member, seen) in group.into_iter().enumerate() {
-                    if mask & (1 << member) == 0 { &mut one } else { &mut other }.push(seen);
+                for (member, counts) in group.into_iter().enumerate() {
+                    if mask & (1 << member) == 0 { &mut one } else { &mut other }.push(counts);
                 }
                 next.groups.extend([one, other]);
             }
-            Event::Heal(place, other) => {
+            PartitionEvent::Heal(index, other) => {
                 let group = next.groups.remove(other);
-                next.groups[place].extend(group);
+                next.groups[index].extend(group);
             }
-            Event::Notice(place, member) => {
-                let there = next.groups[place].len() as u8;
-                let seen = &mut next.groups[place][member];
-                seen.0 = if seen.0 > there { seen.0 - 1 } else { seen.0 + 1 };
-                let seen = *seen;
-                if let Divisor::Whole(live) = self.divisor(seen) {
-                    next.groups[place][member].1 = live as u8;
+            PartitionEvent::Notice(index, member) => {
+                let group_size = next.groups[index].len() as u8;
+                let counts = &mut next.groups[index][member];
+                counts.0 = if counts.0 > group_size { counts.0 - 1 } else { counts.0 + 1 };
+                let counts = *counts;
+                if let Divisor::Whole(live) = self.divisor(counts) {
+                    next.groups[index][member].1 = live as u8;
                 }
             }
-            Event::Crash(place, member) => {
-                next.groups[place].remove(member);
+            PartitionEvent::Crash(index, member) => {
+                next.groups[index].remove(member);
             }
         }
         next.groups.retain(|group| !group.is_empty());
@@ -261,35 +304,46 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "cuts that are noticed: under one and a half limits",
-                |cuts: &Cuts, parted: &Parted| !Cuts::settled(parted) || cuts.sum(parted) <= 1.5 + 1e-9,
+                "once partitions are noticed, the sum is at most 1.5 limits",
+                |model: &PartitionShares, partitions: &Partitions| {
+                    !PartitionShares::all_noticed(partitions) || model.sum(partitions) <= 1.5 + 1e-9
+                },
             ),
             Property::always(
-                "at any moment, even without the ramp: under two",
-                |cuts: &Cuts, parted: &Parted| cuts.sum(parted) < 2.0,
+                "at any moment, even without the ramp, the sum is below 2 limits",
+                |model: &PartitionShares, partitions: &Partitions| model.sum(partitions) < 2.0,
             ),
             Property::always(
-                "at most one part is whole once cuts are noticed",
-                |cuts: &Cuts, parted: &Parted| {
-                    let whole = |group: &&Vec<Seen>| matches!(cuts.divisor(group[0]), Divisor::Whole(_));
-                    !Cuts::settled(parted) || parted.groups.iter().filter(whole).count() <= 1
+                "once partitions are noticed, at most one side is whole",
+                |model: &PartitionShares, partitions: &Partitions| {
+                    let whole = |group: &&Vec<Counts>| matches!(model.divisor(group[0]), Divisor::Whole(_));
+                    !PartitionShares::all_noticed(partitions)
+                        || partitions.groups.iter().filter(whole).count() <= 1
+                },
+            ),
+            Property::sometimes(
+                "both sides use the limit",
+                |model: &PartitionShares, partitions: &Partitions| {
+                    PartitionShares::all_noticed(partitions) && model.sum(partitions) > 1.2
+                },
+            ),
+            Property::sometimes(
+                "a minority keeps the smaller share",
+                |model: &PartitionShares, partitions: &Partitions| {
+                    let all: usize = partitions.groups.iter().map(Vec::len).sum();
+                    PartitionShares::all_noticed(partitions)
+                        && all == model.members
+                        && (model.sum(partitions) - 1.0).abs() < 1e-9
                 },
             ),
-            Property::sometimes("both sides send", |cuts: &Cuts, parted: &Parted| {
-                Cuts::settled(parted) && cuts.sum(parted) > 1.2
-            }),
-            Property::sometimes("a minority keeps the smaller share", |cuts: &Cuts, parted: &Parted| {
-                let all: usize = parted.groups.iter().map(Vec::len).sum();
-                Cuts::settled(parted) && all == cuts.members && (cuts.sum(parted) - 1.0).abs() < 1e-9
-            }),
         ]
     }
 }
 
 #[test]
-fn shares_stay_under_the_bound_in_every_order_of_cuts_heals_and_crashes() {
-    for cuts in [Cuts { members: 5, groups: 4 }, Cuts { members: 6, groups: 3 }] {
-        let checker = cuts.checker().threads(4).spawn_bfs().join();
+fn shares_stay_within_the_bound_in_every_order_of_partitions_heals_and_crashes() {
+    for model in [PartitionShares { members: 5, groups: 4 }, PartitionShares { members: 6, groups: 3 }] {
+        let checker = model.checker().threads(4).spawn_bfs().join();
         println!("{} states", checker.unique_state_count());
         checker.assert_properties();
     }
--- a/tests/membership_shares.rs
+++ b/tests/membership_shares.rs
@@ -1,5 +1,6 @@
-//! Thirty processes of the real program under load, against real servers with one shared limit each, cut into 20 and 10 and
-//! healed: what all of them send together stays within the bound that `docs/membership.md` states.
+//! Thirty real processes under load call real endpoints with one shared limit each, while a partition splits
+//! them into 20 and 10 and heals: their total send rate stays within the bound that `docs/membership.md`
+//! states.
 
 mod support;
 
@@ -10,11 +11,13 @@
 use support::load::{limited, Clients};
 use support::relay::Link;
 
-const LIMIT: f64 = 100.0;
-/// One fleet of thirty at a time.
-static ONE: Mutex<()> = Mutex::new(());
+/// The limit of each endpoint, in requests per second.
+const LIMIT_PER_S: f64 = 100.0;
+/// Prevents two fleets of thirty from running at the same time.
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// Calls a second at both servers from `from` on, of which served, over `span`.
+/// Calls per second received by both endpoints together during `span` from `from`, and how many of them were
+/// served.
 fn rate(fleet: &Fleet, from: Instant, span: Duration) -> (f64, f64) {
     let ledger = fleet.ledger.lock().unwrap();
     let within: Vec<bool> = ledger
@@ -27,108 +30,115 @@
     (per_s(within.len()), per_s(within.iter().filter(|served| **served).count()))
 }
 
-/// The sum of the shares that all members take.
+/// The sum of the shares of all members.
 fn shares(fleet: &Fleet) -> f64 {
     fleet.all().iter().map(|&member| 1.0 / fleet.figure(member, "divisor")).sum()
 }
 
-fn second(seconds: f64) -> Duration {
+fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-fn load(fleet: &Fleet) -> Vec<Clients> {
-    limited(fleet.server(2), LIMIT, fleet.ledger.clone());
-    limited(fleet.server(3), LIMIT, fleet.ledger.clone());
+/// Limits both endpoints and starts one group of clients per member.
+fn start_load(fleet: &Fleet) -> Vec<Clients> {
+    limited(fleet.server(2), LIMIT_PER_S, fleet.ledger.clone());
+    limited(fleet.server(3), LIMIT_PER_S, fleet.ledger.clone());
     let one = |member: usize| {
         let of = format!("f{member}-");
-        Clients::of(&of, 1, fleet.listen[member], second(0.06), fleet.ledger.clone())
+        Clients::of(&of, 1, fleet.listen[member], seconds(0.06), fleet.ledger.clone())
     };
     fleet.all().into_iter().map(one).collect()
 }
 
-/// The same thirty without membership, each told that it is alone: what the test below tells from.
+/// Comparison for the test below: the same thirty forwarders without membership, each configured as the only
+/// one.
 #[test]
-fn thirty_that_do_not_know_each_other_send_far_more_than_the_limit() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn thirty_forwarders_without_membership_exceed_the_limit_by_far() {
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let mut fleet = Fleet::new("thirty-off", Plan { members: 30, seed: 12, siblings: 1, ..Plan::default() });
     (0..30).for_each(|member| drop(fleet.start_as(member, "log: {level: info}\n")));
-    fleet.until("all serve", second(20.0), |fleet| {
+    fleet.until("all forwarders are ready", seconds(20.0), |fleet| {
         fleet.all().iter().all(|&member| fleet.told(member, "/ops/readiness") != serde_json::Value::Null)
     });
-    let clients = load(&fleet);
-    thread::sleep(second(3.0));
+    let clients = start_load(&fleet);
+    thread::sleep(seconds(3.0));
     let from = Instant::now();
-    thread::sleep(second(4.0));
-    let (sent, served) = rate(&fleet, from, second(4.0));
+    thread::sleep(seconds(4.0));
+    let (sent, served) = rate(&fleet, from, seconds(4.0));
     clients.into_iter().for_each(Clients::stop);
-    println!("without membership: sent and served a second of two limits of {LIMIT}: {sent}, {served}");
-    assert!(sent > 2.0 * LIMIT * 1.5, "{sent}");
+    println!(
+        "without membership: sent and served per second of two limits of {LIMIT_PER_S}: {sent}, {served}"
+    );
+    assert!(sent > 2.0 * LIMIT_PER_S * 1.5, "{sent}");
 }
 
 #[test]
-fn thirty_cut_into_twenty_and_ten_under_load_stay_within_the_bound() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    // The settings' number is wrong by far, on purpose: each would take all for itself.
+fn thirty_forwarders_partitioned_into_twenty_and_ten_under_load_stay_within_the_bound() {
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    // The configured number of forwarders is far too low on purpose: each would use the whole limit.
     let plan = Plan { members: 30, seed: 11, seeds: vec![0, 25], siblings: 1, ..Plan::default() };
     let mut fleet = Fleet::new("thirty", plan);
-    fleet.relay.usual(Link { drop: 0.02, delay: second(0.001), jitter: second(0.004), ..Link::default() });
+    fleet.relay.usual(Link { drop: 0.02, delay: seconds(0.001), jitter: seconds(0.004), ..Link::default() });
     (0..30).for_each(|member| fleet.start(member));
-    let joined = fleet.until("all know all", second(20.0), |fleet| fleet.agree(&fleet.all()));
-    fleet.until("all views are whole", second(10.0), |fleet| {
+    let joined =
+        fleet.until("every member knows every other", seconds(20.0), |fleet| fleet.agree(&fleet.all()));
+    fleet.until("all views are whole", seconds(10.0), |fleet| {
         fleet.all().iter().all(|&member| fleet.figure(member, "divisor") >= 29.0)
     });
-    let clients = load(&fleet);
-    thread::sleep(second(3.0));
+    let clients = start_load(&fleet);
+    thread::sleep(seconds(3.0));
     let whole_from = Instant::now();
-    thread::sleep(second(4.0));
-    let whole = rate(&fleet, whole_from, second(4.0));
-    // Cut.
-    let (many, few): (Vec<usize>, Vec<usize>) = ((0..20).collect(), (20..30).collect());
-    fleet.relay.cut(&many, &few);
+    thread::sleep(seconds(4.0));
+    let whole = rate(&fleet, whole_from, seconds(4.0));
+    // Partition.
+    let (majority, minority): (Vec<usize>, Vec<usize>) = ((0..20).collect(), (20..30).collect());
+    fleet.relay.cut(&majority, &minority);
     let cut_at = Instant::now();
-    let mut most: f64 = 0.0;
-    let both = |fleet: &Fleet| fleet.agree(&many) && fleet.agree(&few);
-    let parted = fleet.until("both sides know", second(20.0), both);
-    while cut_at.elapsed() < second(16.0) {
-        most = most.max(shares(&fleet));
-        thread::sleep(second(0.2));
+    let mut max_shares: f64 = 0.0;
+    let both_noticed = |fleet: &Fleet| fleet.agree(&majority) && fleet.agree(&minority);
+    let noticed = fleet.until("both sides have noticed the partition", seconds(20.0), both_noticed);
+    while cut_at.elapsed() < seconds(16.0) {
+        max_shares = max_shares.max(shares(&fleet));
+        thread::sleep(seconds(0.2));
     }
-    let cut = rate(&fleet, cut_at + second(8.0), second(8.0));
-    assert!(most < 1.5, "the shares of both sides add up to {most}");
-    for &member in &many {
+    let cut = rate(&fleet, cut_at + seconds(8.0), seconds(8.0));
+    assert!(max_shares < 1.5, "the shares of both sides add up to {max_shares}");
+    for &member in &majority {
         assert_eq!(fleet.told(member, "/ops/stats")["membership"]["view"], "whole", "f{member}");
     }
-    for &member in &few {
-        let told = fleet.told(member, "/ops/stats")["membership"].clone();
-        assert!(told["view"] == "doubtful" && told["divisor"] == 30.0, "f{member}: {told}");
+    for &member in &minority {
+        let stats = fleet.told(member, "/ops/stats")["membership"].clone();
+        assert!(stats["view"] == "doubtful" && stats["divisor"] == 30.0, "f{member}: {stats}");
         let lines = fleet.lines(member);
-        assert!(lines.contains("doubtful, likely a cut: no share rises"), "a line says so: {lines}");
+        assert!(lines.contains("doubtful, likely a cut: no share rises"), "the partition is logged: {lines}");
     }
     // Heal.
     fleet.relay.heal();
     let healed_at = Instant::now();
-    let healed = fleet.until("all know all", second(15.0), |fleet| {
-        most = most.max(shares(fleet));
+    let healed = fleet.until("every member knows every other", seconds(15.0), |fleet| {
+        max_shares = max_shares.max(shares(fleet));
         fleet.agree(&fleet.all())
     });
-    fleet.until("the fleet is back to the limit", second(2.0), |fleet| shares(fleet) < 1.05);
+    fleet.until("the shares add up to the limit again", seconds(2.0), |fleet| shares(fleet) < 1.05);
     let back = healed_at.elapsed();
-    thread::sleep(second(2.0));
+    thread::sleep(seconds(2.0));
     let after_from = Instant::now();
-    thread::sleep(second(4.0));
-    let after = rate(&fleet, after_from, second(4.0));
+    thread::sleep(seconds(4.0));
+    let after = rate(&fleet, after_from, seconds(4.0));
     clients.into_iter().for_each(Clients::stop);
     println!(
-        "joined {joined:?}, parted {parted:?}, healed {healed:?}, back to the limit {back:?}, most shares {most:.3}"
+        "joined {joined:?}, noticed {noticed:?}, healed {healed:?}, back to the limit {back:?}, \
+         highest sum of shares {max_shares:.3}"
     );
     println!(
-        "sent and served a second of two limits of {LIMIT}: whole {whole:?}, cut {cut:?}, after {after:?}"
+        "sent and served per second of two limits of {LIMIT_PER_S}: whole {whole:?}, cut {cut:?}, \
+         after {after:?}"
     );
-    assert!(most < 1.5, "{most}");
+    assert!(max_shares < 1.5, "{max_shares}");
     for (when, (sent, served)) in [("whole", whole), ("cut", cut), ("after", after)] {
-        assert!(sent < 2.0 * LIMIT * 1.5, "{when}: {sent} a second, of which {served} served");
-        assert!(served > 2.0 * LIMIT * 0.5, "{when}: {served} a second were served");
+        assert!(sent < 2.0 * LIMIT_PER_S * 1.5, "{when}: {sent} per second sent, of which {served} served");
+        assert!(served > 2.0 * LIMIT_PER_S * 0.5, "{when}: {served} per second served");
     }
     let ledger = fleet.ledger.lock().unwrap();
-    assert!(ledger.effects.values().all(|&effects| effects == 1), "none took effect twice");
+    assert!(ledger.effects.values().all(|&effects| effects == 1), "no message took effect twice");
 }
