--- a/src/membership/protocol.rs
+++ b/src/membership/protocol.rs
@@ -2,8 +2,8 @@
 //! anti-entropy syncs.
 //!
 //! The caller passes datagrams to [`Node::receive`], calls [`Node::tick`] at [`Node::next_wake`] at the
-//! latest, and carries out the [`Output`]s. Only a full sync walks over all members in one call;
-//! `sync_interval` bounds how often it runs.
+//! latest, and carries out the [`Output`]s. In normal operation only a full sync walks over all members in
+//! one call: that is its purpose, and `sync_interval` bounds how often it runs.
 
 mod news;
 mod order;
@@ -55,6 +55,7 @@
     MaintenancePart(String, Part),
 }
 
+/// What this member knows about another one.
 struct MemberRecord {
     id: Identity,
     incarnation: u32,
@@ -69,13 +70,19 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
+    /// No ack yet: request indirect probes.
     ProbeTimeout(u32),
+    /// End of the protocol period: suspect the target if there was no ack.
     ProbeEnd(u32),
+    /// No ack for a relayed probe yet: send a nack.
     RelayNack(u32),
+    /// The suspicion timeout: declare the suspect dead.
     Suspicion { name: String, generation: u64, incarnation: u32 },
+    /// Forget a dead or left member.
     Reap { name: String, generation: u64 },
 }
 
+/// The probe of the current protocol period.
 struct Probe {
     seq: u32,
     target: Identity,
@@ -84,6 +91,7 @@
     nacks: u64,
 }
 
+/// A probe sent on behalf of the member at `origin`, whose own probe has the number `origin_seq`.
 struct RelayedProbe {
     origin: SocketAddr,
     origin_seq: u32,
@@ -98,8 +106,8 @@
 pub const MAX_MEMBERS: usize = 4_096;
 /// Maximum number of random draws for a live peer, because a drawn member may be dead.
 const MAX_PEER_DRAWS: usize = 4;
-/// A tick that is late by more than this many periods means that the process was suspended. The result of its
-/// own pending probe is then meaningless.
+/// A tick that is late by more than this many periods means that the process was suspended. Its own pending
+/// probe then proves nothing about the target.
 const STALL_THRESHOLD_PERIODS: u64 = 3;
 
 /// The protocol state machine of the local member.
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -189,7 +189,7 @@
         put_holding(&mut out, holding);
         put_body(&mut out, body);
         let mut room = self.entry_capacity(body);
-        let count_at = out.len();
+        let count_position = out.len();
         out.push(0);
         let mut count = 0u8;
         for entry in entries {
@@ -201,7 +201,7 @@
             room -= size;
             count += 1;
         }
-        out[count_at] = count;
+        out[count_position] = count;
         if let Some(key) = &self.key {
             let tag = key.tag(&out);
             out.extend_from_slice(&tag);
@@ -250,7 +250,7 @@
         (false, None) => bytes.len(),
         _ => return Err(DropReason::BadTag),
     };
-    let mut reader = Reader { bytes: &bytes[..body_end], at: 5 };
+    let mut reader = Reader { bytes: &bytes[..body_end], position: 5 };
     if reader.text()? != cluster {
         return Err(DropReason::OtherCluster);
     }
@@ -307,7 +307,7 @@
             if state == State::Suspect { Some(reader.text()?).filter(|name| !name.is_empty()) } else { None };
         entries.push(Entry { id, incarnation, state, accuser });
     }
-    if reader.at != reader.bytes.len() {
+    if reader.position != reader.bytes.len() {
         return Err(DropReason::Unreadable);
     }
     Ok(Packet { from, seq, holding, body, entries })
@@ -416,15 +416,18 @@
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl Reader<'_> {
     fn take(&mut self, n: usize) -> Result<&[u8], DropReason> {
-        let end =
-            self.at.checked_add(n).filter(|end| *end <= self.bytes.len()).ok_or(DropReason::Unreadable)?;
-        let taken = &self.bytes[self.at..end];
-        self.at = end;
+        let end = self
+            .position
+            .checked_add(n)
+            .filter(|end| *end <= self.bytes.len())
+            .ok_or(DropReason::Unreadable)?;
+        let taken = &self.bytes[self.position..end];
+        self.position = end;
         Ok(taken)
     }
 
