--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -39,7 +39,10 @@
 impl Membership {
     /// Timing of the protocol: values that are not configured are derived from the probe interval.
     pub fn settings(&self) -> Settings {
-        Settings { suspicion_multiplier: self.suspicion_multiplier, ..Settings::paced(self.probe_interval) }
+        Settings {
+            suspicion_multiplier: self.suspicion_multiplier,
+            ..Settings::with_probe_interval(self.probe_interval)
+        }
     }
 
     /// Passes each value with its key to `put`, except the secret.
