--- a/benches/turn.rs
+++ b/benches/turn.rs
@@ -8,7 +8,7 @@
 use cedarwharf::config::model::Core;
 use cedarwharf::engine::{Engine, Input, Offer, Output, Resume};
 use cedarwharf::journal::Space;
-use cedarwharf::tenancy::gate::Gate;
+use cedarwharf::tenancy::gate::FairScheduler;
 use cedarwharf::tenancy::Isolation;
 use cedarwharf::*;
 use std::collections::VecDeque;
@@ -42,7 +42,7 @@
     ClassSettings {
         effect,
         in_order: false,
-        aim: Micros(2_000_000),
+        target_time: Micros(2_000_000),
         deadline: hour,
         worth: 1.0,
         late_share: 0.1,
@@ -52,26 +52,26 @@
 fn settings(slots: u32) -> Settings {
     Settings {
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
-        kinds: vec![KindSettings { routes_apart: false, batch: 1 }],
+        kinds: vec![KindSettings { separate_routes: false, batch: 1 }],
         weights: Weights::Absent,
-        fade: Fade::Halves,
+        worth_decay: WorthDecay::Halving,
         tenants: vec![1e6],
         isolation: Vec::new(),
         over_share_worth: 0.1,
-        senders: 1,
+        forwarders: 1,
         slots,
-        max_open: 30_000,
+        max_messages: 30_000,
         max_attempts: 8,
-        cancels: true,
+        can_cancel: true,
         must_subscribe: false,
         max_retry_after: Micros(2_000_000),
         connection_idle: Micros(10_000_000),
         drain_grace: Micros(2_000_000),
-        cold_from: 0.2,
-        cold_time: Micros(10_000_000),
-        fall_multiple: 2.0,
-        fall_window: Micros(2_000_000),
-        key_rest: Micros(0),
+        recovery_start_share: 0.2,
+        recovery_time: Micros(10_000_000),
+        overload_multiple: 2.0,
+        overload_window: Micros(2_000_000),
+        key_backoff: Micros(0),
     }
 }
 
@@ -88,7 +88,7 @@
             tenants: (0..tenants).map(|place| format!("t{place}")).collect(),
             held_bytes: None,
         };
-        let list = (0..DESTINATIONS).map(|number| Member {
+        let list = (0..DESTINATIONS).map(|number| EndpointRecord {
             endpoint: EndpointId(number),
             destination: DestinationId(number),
             zone: 0,
@@ -129,16 +129,16 @@
         }
     }
 
-    fn answer(&mut self, outcome: Outcome) -> Vec<Input> {
+    fn answer(&mut self, outcome: AttemptOutcome) -> Vec<Input> {
         let Some((call, items)) = self.out.pop_front() else { return Vec::new() };
-        let over = outcome == Outcome::Served;
+        let over = outcome == AttemptOutcome::Delivered;
         let results = (0..items).map(|place| (place, outcome, over)).collect();
         vec![Input::Written(call), Input::Answered { call, results, wait: None }]
     }
 
     /// One answered, one handed in.
     fn step(&mut self) {
-        let mut inputs = self.answer(Outcome::Served);
+        let mut inputs = self.answer(AttemptOutcome::Delivered);
         inputs.push(self.offer());
         self.turn(inputs);
     }
@@ -166,15 +166,19 @@
     }
     let wait = Some(Micros(1_000_000_000));
     for (place, (call, _)) in std::mem::take(&mut rig.out).into_iter().enumerate() {
-        let outcome = if place % 10 == 0 { Outcome::Served } else { Outcome::Full { wait } };
-        let results = vec![(0, outcome, outcome == Outcome::Served)];
-        let wait = wait.filter(|_| outcome != Outcome::Served);
+        let outcome = if place % 10 == 0 {
+            AttemptOutcome::Delivered
+        } else {
+            AttemptOutcome::Rejected { retry_after: wait }
+        };
+        let results = vec![(0, outcome, outcome == AttemptOutcome::Delivered)];
+        let wait = wait.filter(|_| outcome != AttemptOutcome::Delivered);
         rig.turn(vec![Input::Written(call), Input::Answered { call, results, wait }]);
     }
     while rig.engine.flows().count() < held {
         let mut inputs: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
         while !rig.out.is_empty() {
-            inputs.extend(rig.answer(Outcome::Served));
+            inputs.extend(rig.answer(AttemptOutcome::Delivered));
         }
         rig.turn(inputs);
     }
@@ -193,17 +197,17 @@
 
 #[divan::bench(args = [1, 10, 100, 1_000], sample_count = 50, sample_size = 200)]
 fn gate(bencher: divan::Bencher, waiting: usize) {
-    let mut gate = Gate::default();
+    let mut gate = FairScheduler::default();
     gate.configure(1_024, &vec![Isolation::default(); 1_000]);
     let mut out = VecDeque::new();
     let mut step = |out: &mut VecDeque<usize>| {
-        let open = gate.turn(0..waiting);
-        let place = (0..waiting).find(|&place| gate.goes(place, open)).unwrap_or(0);
-        gate.opened(place, Micros(50_000));
+        let open = gate.eligibility(0..waiting);
+        let place = (0..waiting).find(|&place| gate.is_eligible(place, open)).unwrap_or(0);
+        gate.call_started(place, Micros(50_000));
         out.push_back(place);
         if out.len() > 1_000 {
             let place = out.pop_front().unwrap_or(0);
-            gate.ended(place, Micros(50_000), Micros(60_000));
+            gate.call_ended(place, Micros(50_000), Micros(60_000));
         }
     };
     (0..2_000).for_each(|_| step(&mut out));
--- a/src/bin/cedarwharf-wirehost/link.rs
+++ b/src/bin/cedarwharf-wirehost/link.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{self, Input};
 use cedarwharf::report::Report;
-use cedarwharf::{settings, Action, Dispatcher, Event, Lifecycle, ListScope, Member, Micros};
+use cedarwharf::{settings, Action, Dispatcher, EndpointRecord, Event, Lifecycle, ListScope, Micros};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
@@ -19,7 +19,7 @@
 /// Answers batches until the input ends; an error is one line that says what, where and which value.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
-    let mut banks: Vec<Option<Vec<Member>>> = vec![None; BANKS];
+    let mut banks: Vec<Option<Vec<EndpointRecord>>> = vec![None; BANKS];
     let mut actions: Vec<Action> = Vec::new();
     while let Some(batch) = wire::read_batch(&mut input)? {
         for (position, event) in batch.events.into_iter().enumerate() {
@@ -45,12 +45,12 @@
 fn take(
     event: Input,
     instances: &mut BTreeMap<u32, Instance>,
-    banks: &mut [Option<Vec<Member>>],
+    banks: &mut [Option<Vec<EndpointRecord>>],
 ) -> Result<(), String> {
     match event {
         Input::Begin { instance, seed, info } => {
             let dispatcher = Dispatcher::new(settings::parse(&info)?, seed);
-            let places = settings::report_places(&info);
+            let places = settings::report_indices(&info);
             instances.insert(instance, Instance { dispatcher, pending: Vec::new(), places });
         }
         Input::Kill { instance } => {
@@ -61,7 +61,7 @@
                 Some(members);
         }
         Input::Fleet { instance, scope: ListScope::Failed, .. } => {
-            queue(instances, instance, Event::Members(ListScope::Failed, Vec::new()))?;
+            queue(instances, instance, Event::EndpointRecords(ListScope::Failed, Vec::new()))?;
         }
         Input::Fleet { instance, scope, bank } => {
             let mut members = banks
@@ -71,7 +71,7 @@
             if scope != ListScope::Changes {
                 members.retain(|m| m.lifecycle != Lifecycle::Gone);
             }
-            queue(instances, instance, Event::Members(scope, members))?;
+            queue(instances, instance, Event::EndpointRecords(scope, members))?;
         }
         Input::For { instance, event } => queue(instances, instance, event)?,
         Input::Settled { instance, event, endpoint, figures } => {
--- a/src/bin/cedarwharf-wirehost/wire.rs
+++ b/src/bin/cedarwharf-wirehost/wire.rs
@@ -3,8 +3,8 @@
 use crate::link::Batch;
 use bytes::{Buf, BufMut};
 use cedarwharf::{
-    Action, DestinationId, EndpointId, Event, HandedIn, Lifecycle, ListScope, Member, MessageId, Micros,
-    Outcome,
+    Action, AttemptOutcome, DestinationId, EndpointId, EndpointRecord, Event, Lifecycle, ListScope,
+    MessageId, Micros, Submission,
 };
 use std::io::{ErrorKind, Read};
 
@@ -28,7 +28,7 @@
     },
     Ledger {
         bank: u16,
-        members: Vec<Member>,
+        members: Vec<EndpointRecord>,
     },
     Fleet {
         instance: u32,
@@ -138,7 +138,7 @@
             let class = u16f(rest, "qos")? as usize;
             let key = Some(u64f(rest, "nameKey")?).filter(|&key| key != 0);
             let tenant = u16f(rest, "owner")? as usize;
-            Event::Message(id, HandedIn { destination, time_left, class, key, tenant, again })
+            Event::Message(id, Submission { destination, time_left, class, key, tenant, resubmitted: again })
         }
         9 => {
             let id = MessageId(u32f(rest, "corr")?);
@@ -149,7 +149,7 @@
             let closed = bytes(rest, 1, "doneFlag")?[0] != 0;
             let outcome = outcome(how, u32f(rest, "remarkMs")?)?;
             let figures = metrics(rest)?;
-            let event = Event::Settled { id, attempt, outcome, spent, closed };
+            let event = Event::AttemptEnded { id, attempt, outcome, spent, closed };
             return Ok(Input::Settled { instance, event, endpoint, figures });
         }
         10 => {
@@ -173,8 +173,8 @@
     Ok(Input::For { instance, event })
 }
 
-fn read_member(rest: &mut &[u8]) -> Result<Member, String> {
-    Ok(Member {
+fn read_member(rest: &mut &[u8]) -> Result<EndpointRecord, String> {
+    Ok(EndpointRecord {
         endpoint: endpoint(rest)?,
         zone: u16f(rest, "hall")? as u32,
         kind: u16f(rest, "sku")? as usize,
@@ -193,16 +193,16 @@
     })
 }
 
-fn outcome(how: u16, remark: u32) -> Result<Outcome, String> {
+fn outcome(how: u16, remark: u32) -> Result<AttemptOutcome, String> {
     Ok(match how {
-        200 => Outcome::Served,
-        502 => Outcome::Error,
-        429 => Outcome::Full { wait: (remark > 0).then(|| Micros(remark as u64 * 1000)) },
-        408 => Outcome::TimedOut,
-        521 => Outcome::ConnectFailed,
-        520 => Outcome::Reset,
-        444 => Outcome::Cancelled,
-        409 => Outcome::Moot,
+        200 => AttemptOutcome::Delivered,
+        502 => AttemptOutcome::Error,
+        429 => AttemptOutcome::Rejected { retry_after: (remark > 0).then(|| Micros(remark as u64 * 1000)) },
+        408 => AttemptOutcome::TimedOut,
+        521 => AttemptOutcome::ConnectFailed,
+        520 => AttemptOutcome::Reset,
+        444 => AttemptOutcome::Cancelled,
+        409 => AttemptOutcome::NotSent,
         other => return Err(format!("how: unknown outcome {other}")),
     })
 }
@@ -277,7 +277,7 @@
             Action::Cancel { .. } => 6,
             Action::Send { .. } => 7,
             Action::WakeIn(_) => 8,
-            Action::Refuse { .. } => 9,
+            Action::Reject { .. } => 9,
             Action::Log(_) => 10,
         };
         self.count += 1;
@@ -301,7 +301,7 @@
                 out.put_f64_le(delay.as_ms());
                 out.put_u64_le(0);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 out.put_u32_le(id.0);
                 out.put_f64_le(retry_after.as_ms());
             }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -10,8 +10,8 @@
 use crate::interface::*;
 use crate::report::Report;
 use crate::state::*;
-use crate::tenancy::gate::Gate;
-use crate::waiting::{Spot, Waiting};
+use crate::tenancy::gate::FairScheduler;
+use crate::waiting::{WaitingMessage, WaitingMessages};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// T1 before any call was served.
@@ -115,9 +115,9 @@
     senders: upkeep::Senders,
     random: fastrand::Rng,
     messages: BTreeMap<MessageId, Message>,
-    waiting: Waiting,
+    waiting: WaitingMessages,
     /// Whose message may take the next slot.
-    gate: Gate,
+    gate: FairScheduler,
     calls: BTreeMap<u64, Call>,
     /// Calls by when their slots may be taken for others.
     overdue: BTreeSet<(Micros, u64)>,
@@ -173,14 +173,14 @@
     /// A served call; tells whether it was the first after an outage. Slow calls that were given up, often
     /// by this sender itself, and connections lost on the way look like one; a call served soon after the
     /// last shows that there was none. Who answers with errors or shuts its door may serve some in between.
-    fn serve(&mut self, now: Micros, cold_time: Micros) -> bool {
+    fn serve(&mut self, now: Micros, recovery_time: Micros) -> bool {
         let was_out = self.phase == Phase::Out;
         let blink = !self.refusing && now.minus(self.served_at) < BLINK;
         (self.served_at, self.refusing) = (now, false);
         match self.phase {
             Phase::Out if blink => self.phase = Phase::Up,
             Phase::Out => self.phase = Phase::Back(now),
-            Phase::Back(since) if now.minus(since) >= cold_time => self.phase = Phase::Up,
+            Phase::Back(since) if now.minus(since) >= recovery_time => self.phase = Phase::Up,
             _ => {}
         }
         was_out
@@ -189,22 +189,24 @@
     /// Share of its capacity that a cold receiver has at the least.
     fn warmth(&self, now: Micros, settings: &Settings) -> f64 {
         let warm = match self.phase {
-            Phase::Back(since) => seconds(now.minus(since)) / seconds(settings.cold_time).max(1e-3),
+            Phase::Back(since) => seconds(now.minus(since)) / seconds(settings.recovery_time).max(1e-3),
             // Long unasked: it may have come back for others. Outages are longer than one cold time.
-            Phase::Out => seconds(now.minus(self.called_at)) / seconds(settings.cold_time).max(1e-3) - 2.0,
+            Phase::Out => {
+                seconds(now.minus(self.called_at)) / seconds(settings.recovery_time).max(1e-3) - 2.0
+            }
             Phase::Up => 1.0,
         };
-        settings.cold_from + (1.0 - settings.cold_from) * warm.clamp(0.0, 1.0)
+        settings.recovery_start_share + (1.0 - settings.recovery_start_share) * warm.clamp(0.0, 1.0)
     }
 
     /// When the budget of rule 4 has room for a call, at so many calls a second for a warm receiver.
     fn opens_at(&self, now: Micros, capacity: f64, settings: &Settings) -> Micros {
         match self.phase {
             Phase::Up => return now,
-            Phase::Back(since) if now.minus(since) >= settings.cold_time => return now,
+            Phase::Back(since) if now.minus(since) >= settings.recovery_time => return now,
             _ => {}
         }
-        let rate = (settings.fall_multiple * self.warmth(now, settings) * capacity).max(1e-6);
+        let rate = (settings.overload_multiple * self.warmth(now, settings) * capacity).max(1e-6);
         let short = 1.0 - self.tokens - rate * seconds(now.minus(self.filled_at));
         if short <= 0.0 {
             now
@@ -214,7 +216,7 @@
     }
 
     fn called(&mut self, now: Micros, capacity: f64, settings: &Settings) {
-        let rate = settings.fall_multiple * self.warmth(now, settings) * capacity;
+        let rate = settings.overload_multiple * self.warmth(now, settings) * capacity;
         self.tokens = (self.tokens + rate * seconds(now.minus(self.filled_at))).min(1.0) - 1.0;
         self.filled_at = now;
         self.called_at = now;
@@ -267,21 +269,21 @@
         self.now = now;
         for event in events {
             match event {
-                Event::Members(scope, members) => self.learn_members(scope, members),
+                Event::EndpointRecords(scope, members) => self.learn_members(scope, members),
                 Event::Message(id, message) => {
                     self.take(id, message);
                     self.submitted.push(id);
                 }
                 Event::Restored(id, message, past) => self.restore(id, message, past),
-                Event::Told(endpoint, wait) => {
+                Event::RetryAfter(endpoint, wait) => {
                     let until = self.now.plus(wait);
                     let Some(lane_id) = self.lane_of(endpoint) else { continue };
                     let lane = self.lane(endpoint);
                     lane.wait_until = lane.wait_until.max(until);
-                    self.waiting.stir(lane_id.0);
+                    self.waiting.mark_changed(lane_id.0);
                 }
                 Event::Report(endpoint, report) => self.hear_report(endpoint, report),
-                Event::Settled { id, attempt, outcome, spent, closed, .. } => {
+                Event::AttemptEnded { id, attempt, outcome, spent, closed, .. } => {
                     self.settle(id, attempt, outcome, spent, closed);
                 }
                 Event::Settings(settings) => self.adopt(*settings),
@@ -302,14 +304,15 @@
 
     // ---- What is heard ----
 
-    fn take(&mut self, id: MessageId, handed_in: HandedIn) {
-        let HandedIn { destination, time_left, class, key, tenant, again } = handed_in;
+    fn take(&mut self, id: MessageId, handed_in: Submission) {
+        let Submission { destination, time_left, class, key, tenant, resubmitted } = handed_in;
         let class = class.min(self.settings.classes.len().saturating_sub(1));
         let told = &self.settings.classes[class];
         let deadline = self.now.plus(time_left);
         // Little time left is less patience, not lateness, unless the message comes again.
-        let aim = Some(deadline.plus(told.aim).minus(told.deadline)).filter(|&aim| again || aim > self.now);
-        let aim = aim.unwrap_or(self.now.plus(told.aim).min(deadline));
+        let aim = Some(deadline.plus(told.target_time).minus(told.deadline))
+            .filter(|&aim| resubmitted || aim > self.now);
+        let aim = aim.unwrap_or(self.now.plus(told.target_time).min(deadline));
         let key = key.filter(|_| told.in_order);
         if let Some(key) = key {
             self.keys.entry(key).or_default().order.push_back(id);
@@ -331,15 +334,15 @@
     }
 
     /// A message that outlived its process: what was out when that ended may have run, and its tries go on.
-    fn restore(&mut self, id: MessageId, handed_in: HandedIn, past: Past) {
-        self.take(id, HandedIn { again: true, ..handed_in });
+    fn restore(&mut self, id: MessageId, handed_in: Submission, past: AttemptHistory) {
+        self.take(id, Submission { resubmitted: true, ..handed_in });
         let ran = past.may_have_run.map(|(sent, at)| (sent, at, self.zone(at)));
         let Some(message) = self.messages.get_mut(&id) else { return };
         (message.attempts, message.tries, message.may_have_run) = (past.attempts, past.attempts, ran);
         message.found = true;
         if let (Some(key), Some(_)) = (message.key, ran) {
             let queue = self.keys.entry(key).or_default();
-            (queue.rest_until, queue.rest_for) = (self.now.plus(self.settings.key_rest), Some(id));
+            (queue.rest_until, queue.rest_for) = (self.now.plus(self.settings.key_backoff), Some(id));
         }
         self.hold(id);
     }
@@ -352,7 +355,7 @@
         let (own, all) = (asked(&self.asked[tenant]), asked(&self.asked_all));
         let share = quota / self.quotas;
         let by_rate = quota * TENANT_MEMORY_S / (own * self.senders.count);
-        let beyond = held_by_tenant[tenant] as f64 > share * f64::from(self.settings.max_open);
+        let beyond = held_by_tenant[tenant] as f64 > share * f64::from(self.settings.max_messages);
         if beyond && (share * all / own).max(by_rate) < 1.0 {
             self.settings.over_share_worth
         } else {
@@ -360,7 +363,7 @@
         }
     }
 
-    fn settle(&mut self, id: MessageId, attempt: u32, outcome: Outcome, spent: Micros, closed: bool) {
+    fn settle(&mut self, id: MessageId, attempt: u32, outcome: AttemptOutcome, spent: Micros, closed: bool) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(flight) = message.out.take_if(|flight| flight.attempt == attempt) else { return };
         message.closed |= closed;
@@ -368,32 +371,34 @@
         call.left -= 1;
         let (endpoint, lane_id, over) = (call.endpoint, call.lane, call.left == 0);
         // Rule 6: messages of one call may hear of the same wait in different batches; the first word binds.
-        if let (Outcome::Full { wait: Some(wait) }, Some(lane)) = (outcome, self.lanes.get_mut(&lane_id)) {
+        if let (AttemptOutcome::Rejected { retry_after: Some(wait) }, Some(lane)) =
+            (outcome, self.lanes.get_mut(&lane_id))
+        {
             lane.wait_until = lane.wait_until.max(self.now.plus(wait));
         }
-        self.waiting.stir(lane_id.0);
+        self.waiting.mark_changed(lane_id.0);
         if over {
             if let Some(call) = self.calls.remove(&flight.call) {
                 self.overdue.remove(&(call.overdue_at, flight.call));
-                self.gate.ended(call.tenant, call.expected, spent);
+                self.gate.call_ended(call.tenant, call.expected, spent);
                 self.learn(&call, outcome, spent);
             }
         }
         let t1 = self.lanes.get(&lane_id).map_or(T1_START.0 as f64, |lane| lane.t1(self.now));
         let zone = self.zone(endpoint);
         let Some(message) = self.messages.get_mut(&id) else { return };
-        let ran = !outcome.never_ran() && outcome != Outcome::Served;
+        let ran = !outcome.never_ran() && outcome != AttemptOutcome::Delivered;
         if ran {
             message.may_have_run.get_or_insert((flight.sent_at, endpoint, zone));
         }
-        if let (Some(key), true) = (message.key, ran && outcome != Outcome::Error) {
+        if let (Some(key), true) = (message.key, ran && outcome != AttemptOutcome::Error) {
             let queue = self.keys.entry(key).or_default();
-            queue.rest_until = self.now.plus(self.settings.key_rest);
+            queue.rest_until = self.now.plus(self.settings.key_backoff);
             queue.rest_for = Some(id);
         }
         if message.closed {
             self.close(id);
-        } else if outcome == Outcome::Moot {
+        } else if outcome == AttemptOutcome::NotSent {
             message.tries -= 1;
             message.ready_at = self.now.plus(TICK);
             self.hold(id);
@@ -411,7 +416,7 @@
     }
 
     /// What a call's end says of its lane and its endpoint; messages that shared the call count once.
-    fn learn(&mut self, call: &Call, outcome: Outcome, spent: Micros) {
+    fn learn(&mut self, call: &Call, outcome: AttemptOutcome, spent: Micros) {
         let id = call.endpoint;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.in_flight -= 1;
@@ -419,15 +424,15 @@
         self.ended.insert(id);
         // What cannot be read was sent by a receiver that is there: a wire that spoils answers spoils those
         // of all alike, and no health is read from one. Who sends nothing else is no use all the same.
-        endpoint.spoilt = if outcome == Outcome::Spoilt { endpoint.spoilt + 1 } else { 0 };
-        if outcome == Outcome::Moot || (1..SPOILT_AFTER).contains(&endpoint.spoilt) {
+        endpoint.spoilt = if outcome == AttemptOutcome::MalformedAnswer { endpoint.spoilt + 1 } else { 0 };
+        if outcome == AttemptOutcome::NotSent || (1..SPOILT_AFTER).contains(&endpoint.spoilt) {
             return;
         }
-        let unmet = matches!(outcome, Outcome::ConnectFailed | Outcome::TableFull);
+        let unmet = matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimitReached);
         if let (true, Some(failed)) = (unmet, self.no_room.get_mut(endpoint.kind)) {
             failed.add(self.now, TABLE_MEMORY_S, 1.0);
         }
-        if outcome == Outcome::TableFull {
+        if outcome == AttemptOutcome::ConnectionLimitReached {
             // The endpoint is there, and its limit was not asked: the connections are spent, not the calls.
             let lanes = self.lanes.get_mut(&call.lane).into_iter();
             return lanes.for_each(|lane| lane.count(self.now, call.first, true));
@@ -437,21 +442,28 @@
         }
         // A call that went out with less time than calls there take tells nothing when that is over.
         let usual = self.lanes.get(&call.lane).and_then(|lane| lane.latency.mean).unwrap_or_default();
-        if outcome == Outcome::TimedOut && (spent.0 as f64) < usual {
+        if outcome == AttemptOutcome::TimedOut && (spent.0 as f64) < usual {
             return;
         }
         let (part, now, told) = (self.part(id), self.now, self.told_rate(id));
         let Some(lane) = self.lanes.get_mut(&call.lane) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         lane.paced_until(now, told);
-        let heard = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Reset | Outcome::Spoilt);
+        let heard = matches!(
+            outcome,
+            AttemptOutcome::Delivered
+                | AttemptOutcome::Error
+                | AttemptOutcome::Reset
+                | AttemptOutcome::MalformedAnswer
+        );
         lane.count(now, call.first, !heard);
-        let seldom = part * seconds(self.settings.fall_window) < OFTEN;
-        if lane.fulls > 0 && matches!(outcome, Outcome::Served | Outcome::Full { .. }) {
-            self.full_again += GAIN * (f64::from(u8::from(outcome != Outcome::Served)) - self.full_again);
+        let seldom = part * seconds(self.settings.overload_window) < OFTEN;
+        if lane.fulls > 0 && matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Rejected { .. }) {
+            self.full_again +=
+                GAIN * (f64::from(u8::from(outcome != AttemptOutcome::Delivered)) - self.full_again);
         }
         match outcome {
-            Outcome::Served => {
+            AttemptOutcome::Delivered => {
                 lane.latency.add(spent, GAIN, RECENT);
                 self.overall.add(spent, GAIN, RECENT);
                 let room = ((lane.left - TOLD_LOW) / (1.0 - TOLD_LOW)).max(0.0);
@@ -463,13 +475,13 @@
                 let at = (call.lane.0 .0, id.0);
                 for (health, name) in [(&mut endpoint.health, "endpoint"), (&mut lane.health, "destination")]
                 {
-                    if health.serve(now, self.settings.cold_time) {
+                    if health.serve(now, self.settings.recovery_time) {
                         let line = format!("{name} returning: destination {} endpoint {:x}", at.0, at.1);
                         self.actions.push(Action::Log(line));
                     }
                 }
             }
-            Outcome::Full { wait } => {
+            AttemptOutcome::Rejected { retry_after: wait } => {
                 // One that says that nothing is left is above the limit, however many come in a row.
                 lane.fulls += u32::from(lane.told_at < now || lane.left > TOLD_LOW);
                 // One cut for all refusals of calls sent before it, as they tell of one moment.
@@ -493,12 +505,12 @@
             _ => {
                 endpoint.good = 0;
                 endpoint.bad += 1;
-                let unanswered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-                endpoint.health.refusing |= outcome == Outcome::Error;
-                lane.health.refusing |= outcome == Outcome::Error;
+                let unanswered = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
+                endpoint.health.refusing |= outcome == AttemptOutcome::Error;
+                lane.health.refusing |= outcome == AttemptOutcome::Error;
                 // Who meets a partner seldom cannot wait for a second failure: its siblings see one each.
-                let broken = matches!(outcome, Outcome::Reset | Outcome::ConnectFailed);
-                let alone = seldom || self.senders.count > TABLE_MOST && outcome != Outcome::Error;
+                let broken = matches!(outcome, AttemptOutcome::Reset | AttemptOutcome::ConnectFailed);
+                let alone = seldom || self.senders.count > TABLE_MOST && outcome != AttemptOutcome::Error;
                 let enough = match (alone, broken) {
                     (true, _) => 1,
                     (_, true) => BROKEN_AFTER,
@@ -515,7 +527,7 @@
                     // seldom met partner is out with the first silence, unless one was served meanwhile.
                     // Who turns a connect down at once may just have a full table.
                     let late = spent.0 as f64 >= self.overall.mean.unwrap_or(T1_START.0 as f64);
-                    let mute = unanswered || outcome == Outcome::ConnectFailed && late;
+                    let mute = unanswered || outcome == AttemptOutcome::ConnectFailed && late;
                     let silent = alone && mute && lane.health.served_at <= call.sent_at;
                     let routes = self.listed.get(&call.lane.0).map_or(&[][..], |routes| routes);
                     let mut here = routes.iter().filter(|&&route| self.lane_of(route) == Some(call.lane));
@@ -543,10 +555,11 @@
     /// may be dropped on the way, with a reset or with silence. A failure on one that had been idle is a
     /// suspicion, settled by the next call there, on a new connection: served, the connection was at fault
     /// and all lanes so suspected are cleared once that is known; failed, the endpoint is.
-    fn blames_connection(&mut self, call: &Call, outcome: Outcome) -> bool {
+    fn blames_connection(&mut self, call: &Call, outcome: AttemptOutcome) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return false };
-        let served = outcome == Outcome::Served;
-        let unanswered = matches!(outcome, Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled);
+        let served = outcome == AttemptOutcome::Delivered;
+        let unanswered =
+            matches!(outcome, AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
         let before = self.stale_share;
         if call.idle == Micros(0) {
             if let Some(idle) = endpoint.suspect.take().filter(|_| served) {
@@ -559,11 +572,11 @@
         } else if unanswered && endpoint.suspect.is_none() {
             endpoint.suspect = Some(call.idle);
             self.actions.push(Action::CloseIdle(call.endpoint));
-            if outcome == Outcome::Reset {
+            if outcome == AttemptOutcome::Reset {
                 self.stale_share += STALE_GAIN * (1.0 - self.stale_share);
                 self.stale_idle = self.stale_idle.min(call.idle);
             }
-            return outcome == Outcome::Reset || before > STALE_MOST;
+            return outcome == AttemptOutcome::Reset || before > STALE_MOST;
         }
         if before <= STALE_MOST && self.stale_share > STALE_MOST {
             let suspected = self.endpoints.iter().filter(|(_, e)| e.suspect.is_some()).map(|(&id, _)| id);
@@ -580,7 +593,7 @@
         if let (Some(endpoint), Some(lane)) = (self.endpoints.get_mut(&id), lane) {
             (endpoint.health.phase, endpoint.bad) = (Phase::Up, 0);
             lane.health.phase = Phase::Up;
-            self.waiting.stir(endpoint.destination);
+            self.waiting.mark_changed(endpoint.destination);
         }
     }
 
@@ -593,9 +606,9 @@
         if late <= 0.0 {
             return class.worth;
         }
-        let kept = match self.settings.fade {
-            Fade::Halves => 0.5f64.powf(late / class.aim.0.max(1) as f64),
-            Fade::Line => {
+        let kept = match self.settings.worth_decay {
+            WorthDecay::Halving => 0.5f64.powf(late / class.target_time.0.max(1) as f64),
+            WorthDecay::Linear => {
                 let span = message.deadline.minus(message.aim).0.max(1) as f64;
                 1.0 - (1.0 - class.late_share) * (late / span).min(1.0)
             }
@@ -625,21 +638,21 @@
     /// What gains most by going now goes first, as long as there are slots. Looked at are the destinations
     /// where something has happened, those that may have opened, and some that were ranked long ago.
     fn send_ready(&mut self) {
-        self.waiting.wake(self.now);
+        self.waiting.end_backoffs(self.now);
         let slots = self.settings.slots as usize;
         let none_overdue =
-            self.overdue.first().is_none_or(|&(at, _)| at > self.now) || !self.settings.cancels;
+            self.overdue.first().is_none_or(|&(at, _)| at > self.now) || !self.settings.can_cancel;
         if self.calls.len() > slots || self.calls.len() == slots && none_overdue {
             return;
         }
         let turn = |id: &MessageId| self.messages[id].ready_at <= self.now && self.in_turn(*id);
         let turns: Vec<MessageId> = self.waiting.ordered.iter().copied().filter(turn).collect();
-        turns.iter().for_each(|&id| self.waiting.give_turn(id, true));
+        turns.iter().for_each(|&id| self.waiting.set_key_turn(id, true));
         let mut aside = BTreeSet::new();
-        for destination in self.waiting.look_over(self.now, (FEW, RANKED_ANEW)) {
+        for destination in self.waiting.destinations_to_rank(self.now, (FEW, RANKED_ANEW)) {
             self.rank(destination, &aside);
         }
-        while let Some((destination, id, ranked_at)) = self.waiting.next(&mut self.gate) {
+        while let Some((destination, id, ranked_at)) = self.waiting.next_message(&mut self.gate) {
             if ranked_at < self.now {
                 self.rank(destination, &aside);
                 continue;
@@ -666,13 +679,13 @@
             }
             self.rank(destination, &aside);
         }
-        for tenant in self.waiting.blocked(&self.gate) {
+        for tenant in self.waiting.blocked_tenants(&self.gate) {
             self.reclaim(self.hanging_call_of(tenant));
         }
-        turns.iter().for_each(|&id| self.waiting.give_turn(id, false));
+        turns.iter().for_each(|&id| self.waiting.set_key_turn(id, false));
         // Those that could not go where others could are looked at again with the next turn.
         for id in aside {
-            self.messages.get(&id).into_iter().for_each(|m| self.waiting.stir(m.destination));
+            self.messages.get(&id).into_iter().for_each(|m| self.waiting.mark_changed(m.destination));
         }
     }
 
@@ -686,8 +699,8 @@
                 None => {}
             }
         }
-        self.waiting.opens_at(destination, opens);
-        self.waiting.best.set(destination, best, self.now);
+        self.waiting.set_opening(destination, opens);
+        self.waiting.ranking.set(destination, best, self.now);
     }
 
     /// What gains most at a destination by going now, of each tenant; of equals, the oldest.
@@ -699,7 +712,7 @@
         let times = self.now_and_later(destination);
         let doubt = if self.doubtful(destination) { LAST } else { 1.0 };
         let mut best = BTreeMap::new();
-        for (class, id) in self.waiting.contenders(destination, times, aside) {
+        for (class, id) in self.waiting.candidates(destination, times, aside) {
             let unsafe_class = self.settings.classes[class].effect == Effect::Unsafe;
             let message = &self.messages[&id];
             let one = (if unsafe_class { doubt } else { 1.0 } * self.urgency(message, times), id);
@@ -709,7 +722,9 @@
         // What a start found untried is owed a call: it goes first once sending it all takes the time left.
         let all_sent_by = self.untried_end(destination, times.1);
         for (&tenant, best) in best.iter_mut() {
-            let Some((id, deadline)) = self.waiting.untried(destination, tenant, aside) else { continue };
+            let Some((id, deadline)) = self.waiting.first_recovered(destination, tenant, aside) else {
+                continue;
+            };
             let class = &self.settings.classes[self.messages[&id].class];
             let held_back = doubt < 1.0 && class.effect == Effect::Unsafe;
             let sent_by = if held_back { times.1 } else { all_sent_by };
@@ -730,7 +745,7 @@
         let own = |call: &Call| call.tenant == tenant && call.carries.iter().all(repeats);
         let gives_way = |call: &Call| own(call) && unproven(call);
         let found = self.overdue.iter().find(|(_, number)| gives_way(&self.calls[number])).copied();
-        found.filter(|_| self.settings.cancels)
+        found.filter(|_| self.settings.can_cancel)
     }
 
     /// Calls off an overdue call, as a message could go and has no slot: slots are kept from calls that hang.
@@ -859,7 +874,7 @@
         }
         let Message { tenant, destination, .. } = self.messages[&by];
         let expected = self.now_and_later(destination).0.minus(now);
-        self.gate.opened(tenant, expected);
+        self.gate.call_started(tenant, expected);
         let call = Call { endpoint: id, lane: lane_id, sent_at: now, overdue_at: now, ..Call::default() };
         Call { idle, tenant, expected, ..call }
     }
@@ -948,11 +963,11 @@
         // Giving up an attempt pays only where another may follow, and before the aim it hardly ever does. An
         // unsafe one waits to the end of its time, unless its slot is wanted (see `reclaim`).
         let class = &self.settings.classes[message.class];
-        let patience = usual.map_or(left, |usual| usual.max(class.aim).min(left));
+        let patience = usual.map_or(left, |usual| usual.max(class.target_time).min(left));
         let unsafe_class = class.effect == Effect::Unsafe;
-        let timeout = if unsafe_class && self.settings.cancels { left } else { patience };
+        let timeout = if unsafe_class && self.settings.can_cancel { left } else { patience };
         // Where it is not known yet how long calls take, one that outlasts its target time may hang.
-        let overdue = if unsafe_class { patience } else { usual.unwrap_or(class.aim).min(left) };
+        let overdue = if unsafe_class { patience } else { usual.unwrap_or(class.target_time).min(left) };
         let overdue_at = self.now.plus(overdue);
         call.first |= message.tries == 0;
         call.left += 1;
@@ -961,7 +976,7 @@
         message.attempts += 1;
         message.tries += 1;
         call.carries.push(id);
-        self.waiting.take(id);
+        self.waiting.remove(id);
         self.actions.push(Action::Send { id, endpoint: call.endpoint, timeout, leaves_by });
         true
     }
@@ -978,7 +993,7 @@
         };
         if harmless {
             let retry_after = self.advice(message.destination);
-            self.actions.push(Action::Refuse { id, retry_after });
+            self.actions.push(Action::Reject { id, retry_after });
         } else {
             self.actions.push(Action::Fail(id));
         }
@@ -1001,7 +1016,7 @@
             return;
         }
         let key = message.key;
-        self.waiting.take(id);
+        self.waiting.remove(id);
         self.messages.remove(&id);
         if let Some(queue) = key.and_then(|key| self.keys.get_mut(&key)) {
             queue.order.retain(|&other| other != id);
@@ -1009,7 +1024,7 @@
     }
 
     fn answer_overdue(&mut self) {
-        for id in self.waiting.ended(self.now) {
+        for id in self.waiting.due_for_outcome(self.now) {
             let Some(message) = self.messages.get(&id) else { continue };
             let known = self.listed.contains_key(&message.destination);
             let over = message.deadline <= self.now.plus(TICK)
@@ -1027,7 +1042,7 @@
     /// least worth first. What was accepted earlier is owed an attempt, and keeps its place.
     fn reject_over_capacity(&mut self) {
         let submitted = std::mem::take(&mut self.submitted);
-        let places = f64::from(self.settings.max_open);
+        let places = f64::from(self.settings.max_messages);
         if submitted.is_empty() || self.messages.len() as f64 <= places * OPEN_PLACES {
             return;
         }
--- a/src/choice/upkeep.rs
+++ b/src/choice/upkeep.rs
@@ -37,7 +37,7 @@
         let first = self.senders.first;
         self.senders = match count {
             Some(count) => Senders { count: count.max(1.0), observed: true, first },
-            None => Senders { first, ..Senders::told(self.settings.senders) },
+            None => Senders { first, ..Senders::told(self.settings.forwarders) },
         };
     }
 
@@ -63,15 +63,15 @@
         let ask_at = settings.must_subscribe.then_some(Micros(0));
         let no_room = vec![Faded::default(); settings.kinds.len()];
         let quotas = settings.tenants.iter().sum();
-        let mut gate = Gate::default();
+        let mut gate = FairScheduler::default();
         gate.configure(settings.slots, &settings.isolation);
         Dispatcher {
             gate,
-            senders: Senders::told(settings.senders),
+            senders: Senders::told(settings.forwarders),
             settings,
             random: fastrand::Rng::with_seed(seed),
             messages: BTreeMap::new(),
-            waiting: Waiting::default(),
+            waiting: WaitingMessages::default(),
             calls: BTreeMap::new(),
             overdue: BTreeSet::new(),
             revisit: None,
@@ -111,7 +111,7 @@
     /// The lane that an endpoint's calls count for.
     pub(super) fn lane_of(&self, endpoint: EndpointId) -> Option<LaneId> {
         let known = self.endpoints.get(&endpoint)?;
-        let apart = self.settings.kinds.get(known.kind).is_some_and(|kind| kind.routes_apart);
+        let apart = self.settings.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
         Some((known.destination, apart.then_some(endpoint)))
     }
 
@@ -158,7 +158,7 @@
     pub(super) fn wake_when_due(&mut self) {
         self.wake_at = self.wake_at.filter(|&at| at > self.now);
         let never = Micros(u64::MAX);
-        let (ends, goes) = self.waiting.due(&self.gate);
+        let (ends, goes) = self.waiting.next_due(&self.gate);
         let slot_at = match self.calls.len().cmp(&(self.settings.slots as usize)) {
             std::cmp::Ordering::Less => self.now,
             std::cmp::Ordering::Equal => self.overdue.first().map_or(never, |&(at, _)| at),
@@ -166,7 +166,7 @@
         };
         let mut due = self.ask_at.unwrap_or(never).min(ends.unwrap_or(never));
         due = due.min(goes.unwrap_or(never).max(slot_at)).min(self.revisit.map_or(never, |_| self.now));
-        let blocked = self.waiting.blocked(&self.gate).into_iter();
+        let blocked = self.waiting.blocked_tenants(&self.gate).into_iter();
         let gives_way = blocked.filter_map(|tenant| self.hanging_call_of(tenant)).map(|(at, _)| at).min();
         due = due.min(gives_way.unwrap_or(never));
         for id in self.waiting.ordered.clone() {
@@ -199,8 +199,18 @@
         }
         let ordered = key.is_some();
         let found = message.found && message.tries == 0;
-        let spot = Spot { destination, class, tenant, aim, deadline, ends_at, ready_at, ordered, found };
-        self.waiting.put(id, spot, self.now);
+        let spot = WaitingMessage {
+            destination,
+            class,
+            tenant,
+            target_time: aim,
+            deadline,
+            ends_at,
+            ready_at,
+            ordered,
+            recovered: found,
+        };
+        self.waiting.insert(id, spot, self.now);
     }
 
     /// Other settings. What is held stays held, also where less would be held now: nobody's place is lost by an
@@ -215,7 +225,7 @@
         self.no_room.resize(settings.kinds.len(), Faded::default());
         self.quotas = settings.tenants.iter().sum();
         if !self.senders.observed {
-            self.senders = Senders::told(settings.senders);
+            self.senders = Senders::told(settings.forwarders);
         }
         self.settings = settings;
         self.gate.configure(self.settings.slots, &self.settings.isolation);
@@ -224,7 +234,7 @@
     /// After a change of the settings, messages are looked at anew, some in each turn.
     pub(super) fn revisit(&mut self) {
         let Some(from) = self.revisit else { return };
-        let some = self.waiting.from(from, REVISITED);
+        let some = self.waiting.ids_from(from, REVISITED);
         self.revisit =
             some.last().filter(|_| some.len() == REVISITED).map(|last| MessageId(last.0.saturating_add(1)));
         for id in some {
@@ -234,7 +244,7 @@
         }
     }
 
-    pub(super) fn learn_members(&mut self, scope: ListScope, members: Vec<Member>) {
+    pub(super) fn learn_members(&mut self, scope: ListScope, members: Vec<EndpointRecord>) {
         if scope == ListScope::Failed {
             self.ask_at = self.settings.must_subscribe.then(|| self.now.plus(LIST_PAUSE));
             return;
@@ -265,12 +275,15 @@
         for (&id, endpoint) in self.endpoints.iter().filter(|(_, e)| e.told_off.is_none()) {
             self.listed.entry(endpoint.destination).or_default().push(id);
         }
-        before.keys().chain(self.listed.keys()).for_each(|&destination| self.waiting.stir(destination));
+        before
+            .keys()
+            .chain(self.listed.keys())
+            .for_each(|&destination| self.waiting.mark_changed(destination));
         // Who waits where nothing is listed any more has less time.
         for destination in
             before.into_keys().filter(|known| !self.listed.contains_key(known)).collect::<Vec<_>>()
         {
-            self.waiting.of(destination).into_iter().for_each(|id| self.hold(id));
+            self.waiting.ids_of(destination).into_iter().for_each(|id| self.hold(id));
         }
     }
 
@@ -302,8 +315,8 @@
     /// When all that a start found untried and that waits for a destination would be sent, at the rate since the start, or of
     /// late. That is at `from` where there is none, and as long as no time has passed to know a rate by.
     pub(super) fn untried_end(&self, destination: DestinationId, from: Micros) -> Micros {
-        let Some(one) = self.waiting.untried_of(destination).next() else { return from };
-        let count = self.waiting.untried_of(destination).count();
+        let Some(one) = self.waiting.recovered_of(destination).next() else { return from };
+        let count = self.waiting.recovered_of(destination).count();
         let routes = self.listed.get(&destination).into_iter().flatten();
         let lanes: BTreeSet<LaneId> = routes.filter_map(|&route| self.lane_of(route)).collect();
         let rates = lanes.iter().filter_map(|lane| self.lanes.get(lane)).map(|lane| &lane.rate);
--- a/src/choice/upkeep/handover.rs
+++ b/src/choice/upkeep/handover.rs
@@ -98,7 +98,7 @@
         }
         for (&number, call) in &next.calls {
             next.overdue.insert((call.overdue_at, number));
-            next.gate.opened(call.tenant, call.expected);
+            next.gate.call_started(call.tenant, call.expected);
         }
         for id in next.messages.keys().copied().collect::<Vec<_>>() {
             next.hold(id);
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -7,7 +7,7 @@
 use super::secret::{hex, Files, Opened, Secret, HIDDEN};
 use crate::net::list::Names;
 use crate::tenancy::rate::Rate;
-use crate::tenancy::{Isolation, Told};
+use crate::tenancy::{Isolation, ShareLimits};
 use crate::{ClassSettings, Effect, KeyScope, Micros, Settings};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -92,7 +92,7 @@
 }
 
 /// Requests to the administration API with a tenant's token, where nothing is told: more than people and scripts need.
-const USUAL_REQUESTS: Rate = Rate { a_second: 50.0, burst: 100 };
+const USUAL_REQUESTS: Rate = Rate { per_second: 50.0, burst: 100 };
 
 /// Who may use the administration API.
 #[derive(Clone, Debug, PartialEq)]
@@ -253,7 +253,7 @@
         out.put("discovery", self.discovery);
         let told = &self.core.settings;
         out.put("limits.slots", told.slots);
-        out.put("limits.held_messages", told.max_open);
+        out.put("limits.held_messages", told.max_messages);
         if let Some(bytes) = self.core.held_bytes {
             out.put("limits.held_mb", bytes as f64 / 1e6);
         }
@@ -274,7 +274,7 @@
                     out.put(at("window_ms"), window.as_ms());
                 }
             }
-            out.put(at("aim_ms"), class.aim.as_ms());
+            out.put(at("aim_ms"), class.target_time.as_ms());
             out.put(at("deadline_ms"), class.deadline.as_ms());
             out.put(at("worth"), class.worth);
             out.put(at("late_share"), class.late_share);
@@ -292,14 +292,14 @@
                 part.ceiling.iter().for_each(|most| out.put(at(&format!("{key}.ceiling")), most / unit));
             }
             if let Some(rate) = told.arrivals {
-                out.put(at("arrivals.per_s"), rate.a_second);
+                out.put(at("arrivals.per_s"), rate.per_second);
                 out.put(at("arrivals.burst"), rate.burst);
             }
         }
         // What the platform alone tells: in the digest, so that two versions are told apart by it.
         let rest = Settings { classes: Vec::new(), tenants: Vec::new(), ..told.clone() };
         let rest = Settings { isolation: Vec::new(), ..rest };
-        let rest = Settings { slots: 0, max_open: 0, max_attempts: 0, ..rest };
+        let rest = Settings { slots: 0, max_messages: 0, max_attempts: 0, ..rest };
         let (connection_idle, max_retry_after) = (Micros(0), Micros(0));
         let rest = Settings { connection_idle, max_retry_after, ..rest };
         out.put("platform", hex(&Sha256::digest(format!("{rest:?} {:?}", self.names)))[..16].to_owned());
@@ -337,7 +337,7 @@
         for one in &self.tokens {
             out.hide(format!("admin.tokens[{}].token", one.name), &one.token);
             if let Some(rate) = one.requests {
-                out.put(format!("admin.tokens[{}].requests.per_s", one.name), rate.a_second);
+                out.put(format!("admin.tokens[{}].requests.per_s", one.name), rate.per_second);
                 out.put(format!("admin.tokens[{}].requests.burst", one.name), rate.burst);
             }
             if let Some(tenant) = &one.tenant {
@@ -354,7 +354,7 @@
         let bound = |bound: fn(&document::Part) -> Option<u32>| {
             part.as_ref().and_then(bound).map(|bound| u64::from(bound) * unit)
         };
-        Told { guarantee: bound(|part| part.guarantee), ceiling: bound(|part| part.ceiling) }
+        ShareLimits { guarantee: bound(|part| part.guarantee), ceiling: bound(|part| part.ceiling) }
     };
     Isolation {
         weight: tenant.weight.unwrap_or(1.0),
@@ -367,7 +367,7 @@
 
 fn rate(told: &document::Arrivals) -> Rate {
     let burst = told.burst.unwrap_or(told.per_s.ceil().min(f64::from(u32::MAX)) as u32);
-    Rate { a_second: told.per_s, burst: burst.max(1) }
+    Rate { per_second: told.per_s, burst: burst.max(1) }
 }
 
 /// Guarantees that are more than there is, and ceilings below them.
@@ -426,7 +426,7 @@
         (base.sockets, base.disk, base.dial_timeout, None);
     if let Some(limits) = &document.limits {
         settings.slots = limits.slots.unwrap_or(settings.slots);
-        settings.max_open = limits.held_messages.unwrap_or(settings.max_open);
+        settings.max_messages = limits.held_messages.unwrap_or(settings.max_messages);
         settings.max_attempts = limits.max_attempts.unwrap_or(settings.max_attempts);
         settings.connection_idle = limits.server_idle_ms.map_or(settings.connection_idle, Micros::from_ms);
         settings.max_retry_after =
@@ -440,8 +440,10 @@
             let what = format!("{sockets} descriptors do not suffice for {} slots", settings.slots);
             problems.add(Problem::new("limits.sockets", what, format!("allow {needed}, or fewer slots")));
         }
-        if (limits.slots.is_some() || limits.held_messages.is_some()) && settings.slots > settings.max_open {
-            let what = format!("{} slots for {} held messages", settings.slots, settings.max_open);
+        if (limits.slots.is_some() || limits.held_messages.is_some())
+            && settings.slots > settings.max_messages
+        {
+            let what = format!("{} slots for {} held messages", settings.slots, settings.max_messages);
             problems.add(Problem::new("limits.slots", what, "hold at least as many messages as may be out"));
         }
     }
@@ -463,7 +465,7 @@
         settings.isolation = told.iter().map(isolation).collect();
         let sizes = [
             ("slots", u64::from(settings.slots)),
-            ("held_messages", u64::from(settings.max_open)),
+            ("held_messages", u64::from(settings.max_messages)),
             ("held_kb", held_bytes.unwrap_or(disk) / 1000),
         ];
         for (key, size) in sizes {
@@ -603,7 +605,7 @@
     ClassSettings {
         effect,
         in_order: false,
-        aim: Micros::from_ms(told.aim_ms),
+        target_time: Micros::from_ms(told.aim_ms),
         deadline: Micros::from_ms(told.deadline_ms),
         worth: told.worth.unwrap_or(1.0),
         late_share: told.late_share.unwrap_or(0.0),
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -13,11 +13,11 @@
 use std::collections::HashMap;
 
 /// Names that one process can have known at most. Beyond, a restart forgets those that are retired.
-pub const MOST: usize = 50_000;
+pub const MAX_NAMES: usize = 50_000;
 
 /// A name and its number, as the journal declares it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct NumberedName {
     /// Its number.
     pub number: u32,
     /// Its name.
@@ -26,22 +26,22 @@
 
 /// The names of one kind.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    places: Vec<(Named, bool)>,
+pub struct NameTable {
+    places: Vec<(NumberedName, bool)>,
     by_name: HashMap<String, usize>,
     by_number: HashMap<u32, usize>,
     next: u32,
     bytes: u64,
 }
 
-impl Table {
+impl NameTable {
     /// The place of a name that is in the configuration.
-    pub fn find(&self, name: &str) -> Option<usize> {
+    pub fn active_index(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied().filter(|&place| self.is_active(place))
     }
 
     /// The place of a number, also a retired one.
-    pub fn place(&self, number: u32) -> Option<usize> {
+    pub fn index_of(&self, number: u32) -> Option<usize> {
         self.by_number.get(&number).copied()
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// All names with their numbers, in the order of places, and whether each is in the configuration.
-    pub fn iter(&self) -> impl Iterator<Item = (&Named, bool)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&NumberedName, bool)> {
         self.places.iter().map(|(named, active)| (named, *active))
     }
 
@@ -86,14 +86,14 @@
     }
 
     /// The journal names a number. A name or number that is known already stays as it is.
-    pub fn declare(&mut self, named: Named) {
+    pub fn declare(&mut self, named: NumberedName) {
         self.next = self.next.max(named.number.saturating_add(1));
         if !self.by_number.contains_key(&named.number) && !self.by_name.contains_key(&named.name) {
             self.add(named);
         }
     }
 
-    fn add(&mut self, named: Named) -> usize {
+    fn add(&mut self, named: NumberedName) -> usize {
         let place = self.places.len();
         self.bytes += named.name.len() as u64 + 32;
         self.by_name.insert(named.name.clone(), place);
@@ -103,7 +103,7 @@
     }
 
     /// These names are in the configuration from now on, and no others. What is new is told.
-    pub fn configure(&mut self, names: &[String]) -> Vec<Named> {
+    pub fn configure(&mut self, names: &[String]) -> Vec<NumberedName> {
         for (_, active) in &mut self.places {
             *active = false;
         }
@@ -112,7 +112,7 @@
             let place = match self.by_name.get(name) {
                 Some(&place) => place,
                 None => {
-                    let named = Named { number: self.next, name: name.clone() };
+                    let named = NumberedName { number: self.next, name: name.clone() };
                     self.next += 1;
                     fresh.push(named.clone());
                     self.add(named)
@@ -133,17 +133,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     /// Classes.
-    pub classes: Table,
+    pub classes: NameTable,
     /// Tenants. Where there is only one, without a name, it is the empty name.
-    pub tenants: Table,
+    pub tenants: NameTable,
     /// The deadline of the class at each place: a message's, where it tells none.
     pub deadlines: Vec<Micros>,
 }
 
 impl Directory {
     /// The place of the tenant of a request: the only one, where the configuration names none.
-    pub fn tenant(&self, name: Option<&str>) -> Option<usize> {
-        self.tenants.find("").or_else(|| self.tenants.find(name?))
+    pub fn tenant_index(&self, name: Option<&str>) -> Option<usize> {
+        self.tenants.active_index("").or_else(|| self.tenants.active_index(name?))
     }
 
     /// Takes a configuration over: settings as the core needs them, a class and a quota at each place, and the names
@@ -152,7 +152,7 @@
         &mut self,
         core: &Core,
         before: Option<&Settings>,
-    ) -> (Settings, Vec<Named>, Vec<Named>) {
+    ) -> (Settings, Vec<NumberedName>, Vec<NumberedName>) {
         let alone = [String::new()];
         let tenants = if core.tenants.is_empty() { &alone[..] } else { &core.tenants[..] };
         let fresh_classes = self.classes.configure(&core.classes);
@@ -161,20 +161,20 @@
         let kept = |place: usize| before.and_then(|before| before.classes.get(place)).cloned();
         settings.classes = (0..self.classes.len()).map(|place| kept(place).unwrap_or(GONE)).collect();
         for (name, class) in core.classes.iter().zip(&core.settings.classes) {
-            if let Some(place) = self.classes.find(name) {
+            if let Some(place) = self.classes.active_index(name) {
                 settings.classes[place] = class.clone();
             }
         }
-        settings.isolation = vec![Isolation::GONE; self.tenants.len()];
+        settings.isolation = vec![Isolation::REMOVED; self.tenants.len()];
         for (place, name) in tenants.iter().enumerate() {
-            if let Some(to) = self.tenants.find(name) {
+            if let Some(to) = self.tenants.active_index(name) {
                 settings.isolation[to] = core.settings.isolation.get(place).copied().unwrap_or_default();
             }
         }
         if !core.settings.tenants.is_empty() {
             settings.tenants = vec![0.0; self.tenants.len()];
             for (name, quota) in tenants.iter().zip(&core.settings.tenants) {
-                if let Some(place) = self.tenants.find(name) {
+                if let Some(place) = self.tenants.active_index(name) {
                     settings.tenants[place] = *quota;
                 }
             }
@@ -188,7 +188,7 @@
 const GONE: ClassSettings = ClassSettings {
     effect: crate::Effect::Unsafe,
     in_order: false,
-    aim: Micros(0),
+    target_time: Micros(0),
     deadline: Micros(0),
     worth: 0.0,
     late_share: 0.0,
--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -54,32 +54,32 @@
             origin: offer.origin,
             body: offer.body,
         };
-        let full = self.open >= self.settings.max_open as usize
+        let full = self.open >= self.settings.max_messages as usize
             || self.live + room(&taken) > self.held_bytes
             || self.live() + room(&taken) > self.journal.live_bound();
         let parted = if self.paused.contains(&tenant) {
-            Err(Shut::Full(Refused::Ceiling))
+            Err(AdmissionError::NoCapacity(ShareError::CeilingReached))
         } else {
-            self.intake.ask(offer.tenant, room(&taken), !full, self.now)
+            self.intake.admit(offer.tenant, room(&taken), !full, self.now)
         };
         if let Err(shut) = parted {
             self.counts[offer.tenant].turned_down += 1;
             self.sums.turned_down += 1;
             self.count(Some(offer.class), |figures| figures.declined += 1);
-            let wait = if let Shut::Fast(wait) = shut { wait } else { COME_AGAIN };
+            let wait = if let AdmissionError::RateExceeded(wait) = shut { wait } else { COME_AGAIN };
             return Some(Reply::TurnDown(wait));
         }
         self.next_flow = self.next_flow.wrapping_add(1);
         if let Some(replay) = &mut self.replay {
             replay.fresh(offer.destination, taken.flow);
         }
-        let handed_in = HandedIn {
+        let handed_in = Submission {
             destination: offer.destination,
             time_left: offer.time_left,
             class: offer.class,
             key: None,
             tenant: offer.tenant,
-            again: offer.again,
+            resubmitted: offer.again,
         };
         self.events.push(Event::Message(taken.flow, handed_in));
         self.open(taken);
@@ -87,23 +87,23 @@
     }
 
     pub(super) fn open(&mut self, taken: Taken) {
-        let class = self.directory.classes.place(taken.class);
-        let tenant = match self.directory.tenants.place(taken.tenant) {
+        let class = self.directory.classes.index_of(taken.class);
+        let tenant = match self.directory.tenants.index_of(taken.tenant) {
             Some(place) => place,
             None => {
                 // A journal may go by a number whose name is lost: it gets a place that nothing is taken on for.
                 let directory = Rc::make_mut(&mut self.directory);
                 let name = format!("(number {})", taken.tenant);
-                directory.tenants.declare(Named { number: taken.tenant, name });
+                directory.tenants.declare(NumberedName { number: taken.tenant, name });
                 self.counts.resize(directory.tenants.len(), Counts::default());
-                directory.tenants.place(taken.tenant).unwrap_or_default()
+                directory.tenants.index_of(taken.tenant).unwrap_or_default()
             }
         };
         self.live += room(&taken);
         self.open += 1;
         self.counts[tenant].open += 1;
-        self.intake.opened(tenant);
-        self.intake.grown(tenant, room(&taken));
+        self.intake.add_message(tenant);
+        self.intake.add_bytes(tenant, room(&taken));
         self.known.insert(name(&taken), taken.flow);
         let number = taken.flow;
         let (attempts, may_have_run, out, end) = (0, None, None, None);
@@ -118,10 +118,10 @@
         if flow.end.is_none() {
             self.open -= 1;
             self.counts[flow.tenant].open -= 1;
-            self.intake.ended(flow.tenant);
+            self.intake.remove_message(flow.tenant);
         }
         self.live -= room(&flow.taken);
-        self.intake.shrunk(flow.tenant, room(&flow.taken));
+        self.intake.release_bytes(flow.tenant, room(&flow.taken));
         let name = name(&flow.taken);
         self.known.remove(&name);
         if let Some((end, at)) = flow.end {
@@ -151,7 +151,7 @@
         for number in calls {
             let places = self.calls.get(&number).map_or(0, |call| call.items.len());
             for place in 0..places {
-                self.settle(number, place, Outcome::Moot, false);
+                self.settle(number, place, AttemptOutcome::NotSent, false);
             }
         }
         self.records.clear();
--- a/src/engine/calls.rs
+++ b/src/engine/calls.rs
@@ -5,7 +5,7 @@
 
 impl Engine {
     /// One flow of a call has its outcome.
-    pub(super) fn settle(&mut self, call_id: CallId, place: usize, outcome: Outcome, over: bool) {
+    pub(super) fn settle(&mut self, call_id: CallId, place: usize, outcome: AttemptOutcome, over: bool) {
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         let Some((id, attempt, until)) = call.items.get_mut(place).and_then(Option::take) else { return };
         self.waits.remove(&(until, call_id, place));
@@ -14,8 +14,14 @@
             self.left(call_id);
             self.calls.remove(&call_id);
         }
-        let closed = over || outcome == Outcome::Served;
-        self.events.push(Event::Settled { id, attempt, outcome, spent: self.now.minus(sent_at), closed });
+        let closed = over || outcome == AttemptOutcome::Delivered;
+        self.events.push(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            spent: self.now.minus(sent_at),
+            closed,
+        });
         let Some(flow) = self.flows.get_mut(&id) else { return };
         flow.out = None;
         if flow.end.is_some() {
@@ -25,7 +31,7 @@
         let nearly = told.map_or(NEARLY, |class| NEARLY.min(Micros(class.deadline.0 / 10)));
         let late = flow.taken.deadline <= self.now.plus(nearly);
         match outcome {
-            Outcome::Served => self.end(id, if late { End::Undeliverable } else { End::Delivered }),
+            AttemptOutcome::Delivered => self.end(id, if late { End::Undeliverable } else { End::Delivered }),
             _ if over => self.end(id, End::Over),
             _ if outcome.never_ran() => self.records.push(Record::NeverRan(id)),
             _ => {
@@ -53,7 +59,7 @@
     }
 
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
-        self.events.push(Event::Told(endpoint, wait));
+        self.events.push(Event::RetryAfter(endpoint, wait));
         self.call_back(endpoint);
     }
 
@@ -71,13 +77,13 @@
     pub(super) fn recall(&mut self, id: CallId) {
         let places = self.calls.get(&id).map_or(0, |call| call.items.len());
         self.outputs.push(Output::Abort(id));
-        (0..places).for_each(|place| self.settle(id, place, Outcome::Moot, false));
+        (0..places).for_each(|place| self.settle(id, place, AttemptOutcome::NotSent, false));
     }
 
     /// All that is still out in a call ends: as told if its last byte was written, else it never ran.
-    pub(super) fn break_off(&mut self, id: CallId, outcome: Outcome) {
+    pub(super) fn break_off(&mut self, id: CallId, outcome: AttemptOutcome) {
         let Some(call) = self.calls.get(&id) else { return };
-        let outcome = if call.written { outcome } else { Outcome::ConnectFailed };
+        let outcome = if call.written { outcome } else { AttemptOutcome::ConnectFailed };
         for place in 0..call.items.len() {
             self.settle(id, place, outcome, false);
         }
@@ -94,12 +100,12 @@
         for (id, place) in late {
             let Some(call) = self.calls.get(&id) else { continue };
             let (written, places) = (call.written, call.items.len());
-            let outcome = if written { Outcome::TimedOut } else { Outcome::ConnectFailed };
+            let outcome = if written { AttemptOutcome::TimedOut } else { AttemptOutcome::ConnectFailed };
             self.settle(id, place, outcome, false);
             if !written {
                 // Its connection is still coming up, and what it carries would be sent as it was written: one that is given up
                 // here among them. The others go again, in another call.
-                (0..places).for_each(|place| self.settle(id, place, Outcome::Moot, false));
+                (0..places).for_each(|place| self.settle(id, place, AttemptOutcome::NotSent, false));
             }
             if !self.calls.contains_key(&id) {
                 self.outputs.push(Output::Abort(id));
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -58,7 +58,7 @@
             self.unnamed = unnamed;
             return Err(format!("the journal cannot be written: {problem}"));
         }
-        let names = |table: &crate::directory::Table| {
+        let names = |table: &crate::directory::NameTable| {
             table.iter().map(|(named, _)| (named.number, named.name.clone())).collect()
         };
         let out = |(&call, out): (&CallId, &Call)| Out {
@@ -86,14 +86,14 @@
         seed: u64,
         place: (&Path, u64),
         now: Micros,
-        cached: Vec<Member>,
+        cached: Vec<EndpointRecord>,
         (mut handed, places): (Handed, &Places),
     ) -> Engine {
         // Places are the same as there: the decisions go by them.
         let mut directory = Directory::default();
-        let classes = handed.classes.drain(..).map(|(number, name)| Named { number, name });
+        let classes = handed.classes.drain(..).map(|(number, name)| NumberedName { number, name });
         classes.for_each(|named| directory.classes.declare(named));
-        let tenants = handed.tenants.drain(..).map(|(number, name)| Named { number, name });
+        let tenants = handed.tenants.drain(..).map(|(number, name)| NumberedName { number, name });
         tenants.for_each(|named| directory.tenants.declare(named));
         let mut engine = Engine::replayed(core, seed, place, now, cached, directory);
         handed.decided.translate(places);
--- a/src/engine/io.rs
+++ b/src/engine/io.rs
@@ -3,7 +3,7 @@
 use super::{CallId, Token};
 use crate::journal::{End, Space};
 use crate::report::Report;
-use crate::{DestinationId, EndpointId, ListScope, Member, MessageId, Micros, Outcome};
+use crate::{AttemptOutcome, DestinationId, EndpointId, EndpointRecord, ListScope, MessageId, Micros};
 use std::rc::Rc;
 
 /// A flow handed in at a front.
@@ -43,7 +43,7 @@
     /// A flow is handed in.
     Offer(Offer),
     /// News of the list of service entries.
-    Entries(ListScope, Vec<Member>),
+    Entries(ListScope, Vec<EndpointRecord>),
     /// The last byte of a call has been written.
     Written(CallId),
     /// A call, or some of it, has been answered: places in the order, with their outcomes, and whether the flow
@@ -52,7 +52,7 @@
         /// The call.
         call: CallId,
         /// Place in the order, outcome, over.
-        results: Vec<(usize, Outcome, bool)>,
+        results: Vec<(usize, AttemptOutcome, bool)>,
         /// Nothing may be sent there for so long.
         wait: Option<Micros>,
     },
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -12,15 +12,16 @@
 mod restart;
 
 use crate::config::model::Core;
-use crate::directory::{Directory, Named};
+use crate::directory::{Directory, NumberedName};
 use crate::journal::{effect_code, room, End, Found, Journal, Record, Space, Taken};
 use crate::startup::replay::Replay;
-use crate::tenancy::intake::{Intake, Shut};
-use crate::tenancy::share::{Bounds, Refused};
+use crate::tenancy::intake::{AdmissionControl, AdmissionError};
+use crate::tenancy::share::{Bounds, ShareError};
 use crate::{
-    Action, DestinationId, Dispatcher, EndpointId, Event, FirstPace, HandedIn, Lifecycle, ListScope, Member,
+    Action, DestinationId, Dispatcher, EndpointId, EndpointRecord, Event, FirstPace, Lifecycle, ListScope,
+    Submission,
 };
-use crate::{MessageId, Micros, Outcome, Past, Settings};
+use crate::{AttemptHistory, AttemptOutcome, MessageId, Micros, Settings};
 use figures::Figures;
 pub use io::{Counts, FlowView, Input, Item, Offer, Output, Reply};
 use memory::{Memory, Name};
@@ -95,7 +96,7 @@
     directory: Rc<Directory>,
     held_bytes: u64,
     /// What each tenant may hold and offer.
-    intake: Intake,
+    intake: AdmissionControl,
     journal: Journal,
     /// Names that the journal has not been told yet.
     unnamed: Vec<Record>,
@@ -142,7 +143,7 @@
         seed: u64,
         (folder, disk): (&Path, u64),
         now: Micros,
-        cached: Vec<Member>,
+        cached: Vec<EndpointRecord>,
         mut directory: Directory,
     ) -> Engine {
         let Found { journal, records, by_place } = Journal::open(folder, disk);
@@ -158,7 +159,7 @@
                 }
                 let name = String::from_utf8_lossy(name).into_owned();
                 let table = if *tenant { &mut directory.tenants } else { &mut directory.classes };
-                table.declare(Named { number: *number, name });
+                table.declare(NumberedName { number: *number, name });
             }
         }
         let (settings, ..) = directory.configure(core, None);
@@ -169,7 +170,7 @@
             settings,
             directory: Rc::new(directory),
             held_bytes: core.held_bytes.unwrap_or(u64::MAX),
-            intake: Intake::default(),
+            intake: AdmissionControl::default(),
             journal,
             unnamed: Vec::new(),
             open: 0,
@@ -209,7 +210,7 @@
     pub fn configure(&mut self, core: &Core) {
         let directory = Rc::make_mut(&mut self.directory);
         let (settings, classes, tenants) = directory.configure(core, Some(&self.settings));
-        let record = |tenant, named: Named| named_record(tenant, &named);
+        let record = |tenant, named: NumberedName| named_record(tenant, &named);
         self.unnamed.extend(classes.into_iter().map(|named| record(false, named)));
         self.unnamed.extend(tenants.into_iter().map(|named| record(true, named)));
         self.counts.resize(self.directory.tenants.len(), Counts::default());
@@ -234,7 +235,7 @@
         // Beside what is remembered of ended flows. Not less what names take: a tenant would see others come and go by it.
         let live = self.journal.live_bound();
         let bytes = self.held_bytes.min(live - live / 4);
-        let held = u64::from(self.settings.max_open);
+        let held = u64::from(self.settings.max_messages);
         self.intake.configure((held, bytes), &self.settings.isolation);
     }
 
@@ -242,14 +243,23 @@
     pub fn runs(&self, core: &Core) -> bool {
         let names = self.directory.clone();
         let class = |(name, told): (&String, &crate::ClassSettings)| {
-            names.classes.find(name).is_some_and(|place| self.settings.classes.get(place) == Some(told))
+            names
+                .classes
+                .active_index(name)
+                .is_some_and(|place| self.settings.classes.get(place) == Some(told))
         };
         let tenant = |(name, quota): (&String, &f64)| {
-            names.tenants.find(name).is_some_and(|place| self.settings.tenants.get(place) == Some(quota))
+            names
+                .tenants
+                .active_index(name)
+                .is_some_and(|place| self.settings.tenants.get(place) == Some(quota))
         };
         let parted = |(place, name): (usize, &String)| {
             let told = core.settings.isolation.get(place).copied().unwrap_or_default();
-            names.tenants.find(name).is_some_and(|place| self.settings.isolation.get(place) == Some(&told))
+            names
+                .tenants
+                .active_index(name)
+                .is_some_and(|place| self.settings.isolation.get(place) == Some(&told))
         };
         let (classes, tenants) = (self.settings.classes.clone(), self.settings.tenants.clone());
         let isolation = self.settings.isolation.clone();
@@ -409,9 +419,9 @@
             }
             Input::Report(endpoint, report) => self.events.push(Event::Report(endpoint, report)),
             Input::RetryAfter(endpoint, wait) => self.retry_after(endpoint, wait),
-            Input::Broken(call) => self.break_off(call, Outcome::Reset),
-            Input::Spoilt(call) => self.break_off(call, Outcome::Spoilt),
-            Input::HoldBack(endpoint, wait) => self.events.push(Event::Told(endpoint, wait)),
+            Input::Broken(call) => self.break_off(call, AttemptOutcome::Reset),
+            Input::Spoilt(call) => self.break_off(call, AttemptOutcome::MalformedAnswer),
+            Input::HoldBack(endpoint, wait) => self.events.push(Event::RetryAfter(endpoint, wait)),
             Input::Told(flow) => {
                 if self.flows.get(&flow).is_some_and(|flow| flow.end.is_some()) {
                     self.records.push(Record::Told(flow));
@@ -427,7 +437,7 @@
         }
     }
 
-    fn learn(&mut self, scope: ListScope, members: Vec<Member>) {
+    fn learn(&mut self, scope: ListScope, members: Vec<EndpointRecord>) {
         // Destinations stay: one without endpoints for a while still has its flows taken on. Endpoints do not.
         if matches!(scope, ListScope::Whole | ListScope::Cached) {
             self.kinds.clear();
@@ -452,7 +462,7 @@
             self.unwritten.insert((by, id));
             self.calls.entry(id).and_modify(|call| call.leaves_by = by);
         }
-        self.events.push(Event::Members(scope, members));
+        self.events.push(Event::EndpointRecords(scope, members));
     }
 
     /// Counts for a class; what has none stands under none.
@@ -470,7 +480,7 @@
         if flow.end.is_none() {
             self.open -= 1;
             self.counts[flow.tenant].open -= 1;
-            self.intake.ended(flow.tenant);
+            self.intake.remove_message(flow.tenant);
         }
         flow.end = Some((end, self.now));
         if let Some(replay) = &mut self.replay {
@@ -498,7 +508,7 @@
         flow.taken.body = Rc::from(&[][..]);
         let rest = before - room(&flow.taken);
         self.live -= rest;
-        self.intake.shrunk(flow.tenant, rest);
+        self.intake.release_bytes(flow.tenant, rest);
         if owed(&flow.taken, end) {
             self.outputs.push(tell(flow, end));
         } else {
@@ -515,10 +525,10 @@
                 let call = self.flows.get(&id).filter(|flow| flow.attempts == attempt + 1);
                 if let Some(call) = call.and_then(|flow| flow.out) {
                     self.outputs.push(Output::Abort(call));
-                    self.break_off(call, Outcome::Cancelled);
+                    self.break_off(call, AttemptOutcome::Cancelled);
                 }
             }
-            Action::Refuse { id, retry_after } => self.give_up(id, End::Deferred(retry_after)),
+            Action::Reject { id, retry_after } => self.give_up(id, End::Deferred(retry_after)),
             Action::Fail(id) => self.give_up(id, End::Undeliverable),
             Action::WakeIn(delay) => {
                 let at = self.now.plus(delay);
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -33,7 +33,7 @@
     kept
 }
 
-pub(super) fn named_record(tenant: bool, named: &Named) -> Record {
+pub(super) fn named_record(tenant: bool, named: &NumberedName) -> Record {
     Record::Named { tenant, number: named.number, name: named.name.as_bytes().into() }
 }
 
--- a/src/engine/restart.rs
+++ b/src/engine/restart.rs
@@ -18,7 +18,7 @@
         seed: u64,
         place: (&Path, u64),
         now: Micros,
-        cached: Vec<Member>,
+        cached: Vec<EndpointRecord>,
         resume: Resume,
     ) -> Engine {
         let mut engine = Engine::replayed(core, seed, place, now, cached, Directory::default());
@@ -77,7 +77,7 @@
                     if flow.end.is_none() {
                         self.open -= 1;
                         self.counts[flow.tenant].open -= 1;
-                        self.intake.ended(flow.tenant);
+                        self.intake.remove_message(flow.tenant);
                     }
                     flow.end = Some((end, at));
                     if !owed(&flow.taken, end) {
@@ -175,14 +175,14 @@
 
 /// A flow of the journal for the module.
 fn restored(number: MessageId, flow: &Flow, now: Micros) -> Event {
-    let handed_in = HandedIn {
+    let handed_in = Submission {
         destination: DestinationId(flow.taken.destination),
         time_left: flow.taken.deadline.minus(now),
         class: flow.class.unwrap_or_default(),
         key: None,
         tenant: flow.tenant,
-        again: true,
+        resubmitted: true,
     };
-    let past = Past { attempts: flow.attempts, may_have_run: flow.may_have_run };
+    let past = AttemptHistory { attempts: flow.attempts, may_have_run: flow.may_have_run };
     Event::Restored(number, handed_in, past)
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -72,11 +72,11 @@
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fade {
+pub enum WorthDecay {
     /// Evenly, down to the late share at the deadline.
-    Line,
+    Linear,
     /// By half with each further aim, but not under the late share.
-    Halves,
+    Halving,
 }
 
 /// One class of message.
@@ -87,7 +87,7 @@
     /// Messages with one order key go one at a time.
     pub in_order: bool,
     /// Delivered within this time of being first handed in, a message earns its full worth.
-    pub aim: Micros,
+    pub target_time: Micros,
     /// The time in which it may be delivered at all.
     pub deadline: Micros,
     /// Worth of a message delivered in time.
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KindSettings {
     /// The endpoints of a destination are routes with limits, pace and outages of their own.
-    pub routes_apart: bool,
+    pub separate_routes: bool,
     /// Messages that one call may carry.
     pub batch: u32,
 }
@@ -126,7 +126,7 @@
     /// What the listed rates mean.
     pub weights: Weights,
     /// How worth falls after the aim.
-    pub fade: Fade,
+    pub worth_decay: WorthDecay,
     /// For each tenant, the messages a second, over all senders, within its share; empty without tenants.
     pub tenants: Vec<f64>,
     /// What each tenant may use of what all share, by place; empty where nothing is parted.
@@ -134,15 +134,15 @@
     /// Worth of a message beyond its tenant's share, as a part of its class's worth.
     pub over_share_worth: f64,
     /// Senders that share the destinations, this one included.
-    pub senders: u32,
+    pub forwarders: u32,
     /// Calls that may be out at once.
     pub slots: u32,
     /// Messages that may be held, sent or not.
-    pub max_open: u32,
+    pub max_messages: u32,
     /// Attempts for one message.
     pub max_attempts: u32,
     /// Attempts may be called off.
-    pub cancels: bool,
+    pub can_cancel: bool,
     /// The list of endpoints comes only to those who subscribe.
     pub must_subscribe: bool,
     /// Longest advice to stay away that a client follows.
@@ -152,15 +152,15 @@
     /// Sends to a draining or gone endpoint must have ceased by then.
     pub drain_grace: Micros,
     /// Share of its capacity that a destination has at least after an outage.
-    pub cold_from: f64,
+    pub recovery_start_share: f64,
     /// Time after which it has all of it.
-    pub cold_time: Micros,
+    pub recovery_time: Micros,
     /// It falls over when sent more than this many times its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for so long.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// How long an order key rests after an attempt that may still be running.
-    pub key_rest: Micros,
+    pub key_backoff: Micros,
 }
 
 /// Where an endpoint stands in the list.
@@ -176,7 +176,7 @@
 
 /// One entry of the list of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct EndpointRecord {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
@@ -206,43 +206,43 @@
 
 /// What became of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Delivered.
-    Served,
+    Delivered,
     /// Answered with an error; may have taken effect.
     Error,
     /// Turned away unseen, with the wait told, if any.
-    Full {
+    Rejected {
         /// Nothing may be sent there for so long.
-        wait: Option<Micros>,
+        retry_after: Option<Micros>,
     },
     /// No answer in time; may have run.
     TimedOut,
     /// No connection; never ran.
     ConnectFailed,
     /// A connection came up and was turned away with a word: the endpoint holds all that it takes. Never ran.
-    TableFull,
+    ConnectionLimitReached,
     /// The connection broke; may have run.
     Reset,
     /// Answered with what cannot be read; may have run. The receiver is there.
-    Spoilt,
+    MalformedAnswer,
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether it proves that the message never ran.
     pub fn never_ran(self) -> bool {
-        use Outcome::{ConnectFailed, Full, Moot, TableFull};
-        matches!(self, Full { .. } | ConnectFailed | TableFull | Moot)
+        use AttemptOutcome::{ConnectFailed, ConnectionLimitReached, NotSent, Rejected};
+        matches!(self, Rejected { .. } | ConnectFailed | ConnectionLimitReached | NotSent)
     }
 }
 
 /// A message as it is handed in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HandedIn {
+pub struct Submission {
     /// Where it must go.
     pub destination: DestinationId,
     /// How long it may still be delivered.
@@ -254,12 +254,12 @@
     /// Its tenant, by index.
     pub tenant: usize,
     /// It is known to have been handed in before.
-    pub again: bool,
+    pub resubmitted: bool,
 }
 
 /// What is known of a message that outlived the process that took it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Past {
+pub struct AttemptHistory {
     /// Attempts that it has had.
     pub attempts: u32,
     /// The first attempt that may have run: when it was sent, and where to.
@@ -270,23 +270,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list.
-    Members(ListScope, Vec<Member>),
+    EndpointRecords(ListScope, Vec<EndpointRecord>),
     /// A new message.
-    Message(MessageId, HandedIn),
+    Message(MessageId, Submission),
     /// A message that an earlier process of this sender took on and did not end.
-    Restored(MessageId, HandedIn, Past),
+    Restored(MessageId, Submission, AttemptHistory),
     /// An answer told to send nothing to an endpoint's destination for so long, whatever became of its call.
-    Told(EndpointId, Micros),
+    RetryAfter(EndpointId, Micros),
     /// An answer told of the limit of an endpoint's destination; comes before what became of its call.
     Report(EndpointId, Report),
     /// An attempt ended.
-    Settled {
+    AttemptEnded {
         /// The message.
         id: MessageId,
         /// Which attempt, from 0 in the order of sending.
         attempt: u32,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Time since it was sent.
         spent: Micros,
         /// The message has had its final answer.
@@ -323,7 +323,7 @@
         attempt: u32,
     },
     /// Final answer: handed back, harmless to hand in again after the wait.
-    Refuse {
+    Reject {
         /// The message.
         id: MessageId,
         /// How long to stay away.
--- a/src/lab/endpoints.rs
+++ b/src/lab/endpoints.rs
@@ -2,7 +2,7 @@
 //! refused call uses it up as a served one does) and holds so many connections; it tells its limit with each answer.
 
 use crate::report::Report;
-use crate::{Micros, Outcome};
+use crate::{AttemptOutcome, Micros};
 use std::collections::BTreeMap;
 
 /// How long a call that is served takes.
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer {
     /// What its sender hears...
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// ...after so long.
     pub after: Micros,
     /// What the answer tells of the limit.
@@ -71,11 +71,11 @@
         if new {
             self.connects.push(now);
             if self.out {
-                return answer(Outcome::ConnectFailed, AT_ONCE, None, false);
+                return answer(AttemptOutcome::ConnectFailed, AT_ONCE, None, false);
             }
             if self.open >= self.most {
                 self.turned_away += 1;
-                return answer(Outcome::TableFull, AT_ONCE, None, false);
+                return answer(AttemptOutcome::ConnectionLimitReached, AT_ONCE, None, false);
             }
             *self.held.entry(by).or_default() += 1;
             self.open += 1;
@@ -87,10 +87,10 @@
         let report = Report::new((self.tokens / (self.limit / 2.0)).clamp(0.0, 1.0), self.limit);
         if self.tokens < 0.0 {
             self.refused += 1;
-            return answer(Outcome::Full { wait: None }, AT_ONCE, report, false);
+            return answer(AttemptOutcome::Rejected { retry_after: None }, AT_ONCE, report, false);
         }
         self.served += 1;
-        answer(Outcome::Served, SERVICE, report, true)
+        answer(AttemptOutcome::Delivered, SERVICE, report, true)
     }
 
     /// A forwarder closes so many of its connections here.
--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -56,33 +56,33 @@
     let class = |effect| ClassSettings {
         effect,
         in_order: false,
-        aim: Micros(2_000_000),
+        target_time: Micros(2_000_000),
         deadline: DEADLINE,
         worth: 1.0,
         late_share: 0.3,
     };
     Settings {
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
-        kinds: vec![KindSettings { routes_apart: false, batch: 1 }],
+        kinds: vec![KindSettings { separate_routes: false, batch: 1 }],
         weights: Weights::Absent,
-        fade: Fade::Line,
+        worth_decay: WorthDecay::Linear,
         tenants: Vec::new(),
         isolation: Vec::new(),
         over_share_worth: 1.0,
-        senders: senders as u32,
+        forwarders: senders as u32,
         slots: 64,
-        max_open: 2_000,
+        max_messages: 2_000,
         max_attempts: 8,
-        cancels: true,
+        can_cancel: true,
         must_subscribe: false,
         max_retry_after: Micros(3_000_000),
         connection_idle: Micros(10_000_000),
         drain_grace: Micros(2_000_000),
-        cold_from: 0.2,
-        cold_time: Micros(9_000_000),
-        fall_multiple: 2.0,
-        fall_window: Micros(2_500_000),
-        key_rest: Micros(0),
+        recovery_start_share: 0.2,
+        recovery_time: Micros(9_000_000),
+        overload_multiple: 2.0,
+        overload_window: Micros(2_500_000),
+        key_backoff: Micros(0),
     }
 }
 
@@ -321,7 +321,7 @@
     }
 
     fn listed(&mut self, world: &World, scope: ListScope) {
-        let member = |place: usize| Member {
+        let member = |place: usize| EndpointRecord {
             endpoint: EndpointId(place as u64),
             destination: DestinationId(place as u64),
             zone: 0,
@@ -330,7 +330,7 @@
             weight: 0.0,
         };
         let members = (0..world.endpoints.len()).map(member).collect();
-        self.events.push(Event::Members(scope, members));
+        self.events.push(Event::EndpointRecords(scope, members));
         self.knows = true;
     }
 
@@ -356,7 +356,7 @@
 
     fn restore(&mut self, world: &World, now: Micros, id: u32) {
         let message = &world.messages[id as usize];
-        let past = Past { attempts: message.attempts, may_have_run: message.may_have_run };
+        let past = AttemptHistory { attempts: message.attempts, may_have_run: message.may_have_run };
         self.attempts.insert(id, message.attempts);
         self.events.push(Event::Restored(MessageId(id), handed_in(message, now, true), past));
     }
@@ -449,7 +449,7 @@
         if self.knows && first.is_some() {
             let destinations = (0..world.endpoints.len() as u64).map(DestinationId);
             for (destination, until) in mates.ramp.waits(now, mates.among, destinations) {
-                self.events.push(Event::Told(EndpointId(destination.0), until.minus(now)));
+                self.events.push(Event::RetryAfter(EndpointId(destination.0), until.minus(now)));
             }
         }
         let starting = mates.among.starting;
@@ -467,9 +467,10 @@
         while let Some(entry) = self.out.first_entry().filter(|entry| entry.key().0 <= now) {
             let Out { id, attempt, sent_at, to, answer, timeout } = entry.remove();
             let late = answer.after > timeout;
-            let outcome = if late { Outcome::TimedOut } else { answer.outcome };
-            let met = !matches!(outcome, Outcome::ConnectFailed | Outcome::TableFull);
-            if outcome == Outcome::Served {
+            let outcome = if late { AttemptOutcome::TimedOut } else { answer.outcome };
+            let met =
+                !matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimitReached);
+            if outcome == AttemptOutcome::Delivered {
                 world.end(id, |message| message.delivered += 1);
             } else if !outcome.never_ran() {
                 let ran = (sent_at, EndpointId(to as u64));
@@ -483,9 +484,9 @@
             let endpoint = EndpointId(to as u64);
             let report = answer.report.filter(|_| !late);
             self.events.extend(report.map(|report| Event::Report(endpoint, report)));
-            let closed = outcome == Outcome::Served;
+            let closed = outcome == AttemptOutcome::Delivered;
             let spent = now.minus(sent_at);
-            self.events.push(Event::Settled { id: MessageId(id), attempt, outcome, spent, closed });
+            self.events.push(Event::AttemptEnded { id: MessageId(id), attempt, outcome, spent, closed });
         }
         for (to, idle) in self.idle.iter_mut().enumerate() {
             let before = idle.len();
@@ -538,7 +539,7 @@
                 let out = Out { id: id.0, attempt, sent_at: now, to, answer, timeout };
                 self.out.insert((at, self.calls), out);
             }
-            Action::Refuse { id, .. } => world.end(id.0, |message| message.refused += 1),
+            Action::Reject { id, .. } => world.end(id.0, |message| message.refused += 1),
             Action::Fail(id) => world.end(id.0, |message| message.failed += 1),
             Action::WakeIn(delay) => {
                 let at = now.plus(delay);
@@ -608,13 +609,13 @@
     }
 }
 
-fn handed_in(message: &Message, now: Micros, again: bool) -> HandedIn {
-    HandedIn {
+fn handed_in(message: &Message, now: Micros, again: bool) -> Submission {
+    Submission {
         destination: DestinationId(message.to as u64),
         time_left: message.deadline.minus(now),
         class: if message.payment { PAYMENT } else { SAFE },
         key: None,
         tenant: 0,
-        again,
+        resubmitted: again,
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,37 +13,37 @@
 //! let class = ClassSettings {
 //!     effect: Effect::Safe,
 //!     in_order: false,
-//!     aim: Micros::from_ms(3_000.0),
+//!     target_time: Micros::from_ms(3_000.0),
 //!     deadline: Micros::from_ms(10_000.0),
 //!     worth: 1.0,
 //!     late_share: 0.5,
 //! };
 //! let settings = Settings {
 //!     classes: vec![class],
-//!     kinds: vec![KindSettings { routes_apart: false, batch: 1 }],
+//!     kinds: vec![KindSettings { separate_routes: false, batch: 1 }],
 //!     weights: Weights::Absent,
-//!     fade: Fade::Line,
+//!     worth_decay: WorthDecay::Linear,
 //!     tenants: Vec::new(),
 //!     isolation: vec![],
 //!     over_share_worth: 1.0,
-//!     senders: 1,
+//!     forwarders: 1,
 //!     slots: 8,
-//!     max_open: 100,
+//!     max_messages: 100,
 //!     max_attempts: 6,
-//!     cancels: true,
+//!     can_cancel: true,
 //!     must_subscribe: false,
 //!     max_retry_after: Micros::from_ms(2_000.0),
 //!     connection_idle: Micros::from_ms(15_000.0),
 //!     drain_grace: Micros::from_ms(1_000.0),
-//!     cold_from: 0.2,
-//!     cold_time: Micros::from_ms(10_000.0),
-//!     fall_multiple: 2.0,
-//!     fall_window: Micros::from_ms(2_000.0),
-//!     key_rest: Micros(0),
+//!     recovery_start_share: 0.2,
+//!     recovery_time: Micros::from_ms(10_000.0),
+//!     overload_multiple: 2.0,
+//!     overload_window: Micros::from_ms(2_000.0),
+//!     key_backoff: Micros(0),
 //! };
 //! let mut dispatcher = Dispatcher::new(settings, 42);
 //! let (partner, endpoint, id) = (DestinationId(1), EndpointId(10), MessageId(7));
-//! let listed = Member {
+//! let listed = EndpointRecord {
 //!     endpoint,
 //!     destination: partner,
 //!     zone: 0,
@@ -53,12 +53,12 @@
 //! };
 //! let time_left = Micros::from_ms(10_000.0);
 //! let handed_in =
-//!     HandedIn { destination: partner, time_left, class: 0, key: None, tenant: 0, again: false };
+//!     Submission { destination: partner, time_left, class: 0, key: None, tenant: 0, resubmitted: false };
 //! let mut actions = Vec::new();
 //!
 //! // The list of endpoints comes, then a message: it is sent.
 //! let events = [
-//!     Event::Members(ListScope::Whole, vec![listed]),
+//!     Event::EndpointRecords(ListScope::Whole, vec![listed]),
 //!     Event::Message(id, handed_in),
 //! ];
 //! dispatcher.handle(Micros::from_ms(1_000.0), events, &mut actions);
@@ -67,10 +67,10 @@
 //! // The partner is full and tells a wait: nothing goes there before it is over.
 //! actions.clear();
 //! let wait = Some(Micros::from_ms(800.0));
-//! let full = Event::Settled {
+//! let full = Event::AttemptEnded {
 //!     id,
 //!     attempt: 0,
-//!     outcome: Outcome::Full { wait },
+//!     outcome: AttemptOutcome::Rejected { retry_after: wait },
 //!     spent: Micros::from_ms(30.0),
 //!     closed: false,
 //! };
@@ -89,10 +89,10 @@
 //! };
 //! assert!(sent_again >= Micros::from_ms(1_830.0));
 //! actions.clear();
-//! let served = Event::Settled {
+//! let served = Event::AttemptEnded {
 //!     id,
 //!     attempt: 1,
-//!     outcome: Outcome::Served,
+//!     outcome: AttemptOutcome::Delivered,
 //!     spent: Micros::from_ms(90.0),
 //!     closed: true,
 //! };
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -13,7 +13,7 @@
 use crate::config::problem::Problem;
 use crate::engine::{Counts, Engine, Input};
 use crate::journal::End;
-use crate::tenancy::rate::Arrivals;
+use crate::tenancy::rate::ArrivalLimiter;
 use crate::{Lifecycle, Micros};
 use changes::{Ask, Asked, Verdict};
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     connections: BTreeMap<u64, Connection>,
     tokens: Vec<Token>,
     /// Requests with each token, by its place in the list.
-    requests: Arrivals,
+    requests: ArrivalLimiter,
     retired: bool,
     /// How often no connection could be taken though one was there.
     pub listener_failures: u64,
@@ -106,7 +106,7 @@
 impl Admin {
     /// Listens; the poll waits for the listener already.
     pub fn new(listener: TcpListener, tokens: Vec<Token>) -> Admin {
-        let (connections, requests) = (BTreeMap::new(), Arrivals::default());
+        let (connections, requests) = (BTreeMap::new(), ArrivalLimiter::default());
         let mut admin = Admin {
             listener,
             connections,
@@ -146,7 +146,7 @@
     pub fn configure(&mut self, tokens: Vec<Token>) {
         self.tokens = tokens;
         // What was used of the old rates is forgotten: another list gives each token its burst anew.
-        self.requests = Arrivals::default();
+        self.requests = ArrivalLimiter::default();
         self.requests.configure(self.tokens.iter().map(|token| token.requests).collect());
         let known = |who: &Option<Token>| who.as_ref().is_none_or(|who| self.tokens.contains(who));
         self.connections.retain(|_, one| one.asked || known(&one.who));
@@ -243,7 +243,7 @@
                     one.who = known.as_ref().map(|(_, known)| known.clone());
                     let verdict = match known {
                         None => Verdict::Now(Answer::empty(401)),
-                        Some((place, known)) => match self.requests.take(place, view.now) {
+                        Some((place, known)) => match self.requests.admit(place, view.now) {
                             Ok(()) => self.answer(&request, &known, view, inputs),
                             Err(wait) => Verdict::Now(too_many(wait)),
                         },
@@ -308,9 +308,9 @@
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         let tenants = &view.engine.directory().tenants;
         // A token of a tenant that is gone sees nothing.
-        let scope = who.tenant.as_ref().map(|name| tenants.find(name).unwrap_or(usize::MAX));
+        let scope = who.tenant.as_ref().map(|name| tenants.active_index(name).unwrap_or(usize::MAX));
         let sees = |tenant: usize| scope.is_none_or(|own| own == tenant);
-        let named = |name: &str| tenants.find(name).filter(|&t| sees(t));
+        let named = |name: &str| tenants.active_index(name).filter(|&t| sees(t));
         let list = |items: Vec<String>| Answer::text(format!("[{}]\n", items.join(",")));
         Verdict::Now(match (request.method.as_str(), &parts[..]) {
             // The configuration belongs to no tenant.
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -156,8 +156,8 @@
             Part::Core(core) => {
                 let names = engine.directory();
                 let most = names.classes.len_with(&core.classes).max(names.tenants.len_with(&core.tenants));
-                if most > directory::MOST {
-                    let what = format!("{most} names since the start, {} at most", directory::MOST);
+                if most > directory::MAX_NAMES {
+                    let what = format!("{most} names since the start, {} at most", directory::MAX_NAMES);
                     return Err(Problem::new(
                         "tenants",
                         what,
@@ -223,7 +223,7 @@
                     node.engine.begins_with(None);
                 }
                 let handed = node.members.as_ref().map(Members::hand_over);
-                let (siblings, seed) = (self.to.core.settings.senders, node.seed);
+                let (siblings, seed) = (self.to.core.settings.forwarders, node.seed);
                 let folder = node.folder.clone();
                 node.watch.wanted = true;
                 let before = node.members.as_ref().and_then(Members::held);
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -18,7 +18,7 @@
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::{self, Stream};
 use crate::tenancy::share::{bounds, Shares};
-use crate::tenancy::Told;
+use crate::tenancy::ShareLimits;
 use crate::{DestinationId, MessageId, Micros};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
@@ -365,13 +365,13 @@
     /// Connections by tenant: what each that may log in has and may have. Cost: the connections held and the tenants, for
     /// each login.
     fn parts(&self) -> Shares {
-        let places = |login: &Login| self.directory.tenants.find(&login.tenant);
-        let mut told = vec![(0.0, Told::default()); self.directory.tenants.len()];
+        let places = |login: &Login| self.directory.tenants.active_index(&login.tenant);
+        let mut told = vec![(0.0, ShareLimits::default()); self.directory.tenants.len()];
         self.credentials.iter().filter_map(places).for_each(|place| told[place].0 = 1.0);
         let mut parts = Shares::default();
         parts.configure(MOST_CONNECTIONS as u64, &bounds(MOST_CONNECTIONS as u64, &told));
         let logged_in = self.publishers.values().filter(|one| one.login.is_some());
-        logged_in.for_each(|one| parts.take(one.tenant, 1));
+        logged_in.for_each(|one| parts.acquire(one.tenant, 1));
         parts
     }
 
@@ -543,7 +543,8 @@
         return fault(406, "header key is not plain");
     }
     let kind = properties.kind.clone().unwrap_or_default();
-    let Some(class) = std::str::from_utf8(&kind).ok().and_then(|name| directory.classes.find(name)) else {
+    let Some(class) = std::str::from_utf8(&kind).ok().and_then(|name| directory.classes.active_index(name))
+    else {
         return fault(406, "type names no class");
     };
     let time_left = match &properties.expiration {
--- a/src/net/clients/amqp/methods.rs
+++ b/src/net/clients/amqp/methods.rs
@@ -35,10 +35,10 @@
                 let Some(known) = known.filter(|_| mechanism == b"PLAIN") else {
                     return fault(403, "access refused");
                 };
-                let Some(tenant) = self.directory.tenants.find(&known.tenant) else {
+                let Some(tenant) = self.directory.tenants.active_index(&known.tenant) else {
                     return fault(403, "access refused");
                 };
-                if shares.may(tenant, 1).is_err() {
+                if shares.check(tenant, 1).is_err() {
                     return fault(530, "no connection left for this tenant");
                 }
                 (publisher.tenant, publisher.login) = (tenant, Some(known.clone()));
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -469,14 +469,14 @@
         }
         Ok(value.map(|value| Rc::from(value.as_bytes())))
     };
-    let class = headers.get("Request-Class").and_then(|name| directory.classes.find(name));
+    let class = headers.get("Request-Class").and_then(|name| directory.classes.active_index(name));
     Ok(Offer {
         token,
         front: PLATFORM,
         // Real servers tell messages of this front apart by their ids alone, whoever's they are.
         space: Space::Front,
         tell_delivered: false,
-        tenant: directory.tenant(headers.get("Tenant")).ok_or(400u16)?,
+        tenant: directory.tenant_index(headers.get("Tenant")).ok_or(400u16)?,
         class: class.ok_or(400u16)?,
         destination: destination(headers).ok_or(400u16)?,
         id: name("Request-Id")?.ok_or(400u16)?,
--- a/src/net/list/dns_sd.rs
+++ b/src/net/list/dns_sd.rs
@@ -6,7 +6,7 @@
 use super::{endpoint_id, Entry, Names, News};
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::Stream;
-use crate::{DestinationId, Lifecycle, Member, Micros};
+use crate::{DestinationId, EndpointRecord, Lifecycle, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -252,7 +252,7 @@
             known.iter().position(|one| one.eq_ignore_ascii_case(name)).unwrap_or(known.len())
         };
         let draining = get("state").eq_ignore_ascii_case("draining");
-        let member = Member {
+        let member = EndpointRecord {
             endpoint: endpoint_id(instance),
             destination: DestinationId(get("cell").parse().ok()?),
             zone: place(&self.names.zones, get("zone")) as u32,
--- a/src/net/list/mod.rs
+++ b/src/net/list/mod.rs
@@ -5,7 +5,7 @@
 pub mod spread;
 pub mod watch;
 
-use crate::{DestinationId, EndpointId, Lifecycle, Member};
+use crate::{DestinationId, EndpointId, EndpointRecord, Lifecycle};
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
 use simd_json::BorrowedValue;
@@ -18,7 +18,7 @@
     /// Its name.
     pub name: String,
     /// What the module sees of it.
-    pub member: Member,
+    pub member: EndpointRecord,
     /// Where it listens; absent in the news that it is gone.
     pub address: Option<SocketAddr>,
 }
@@ -128,7 +128,7 @@
         return None;
     }
     let name = value.get_str("instanceId")?.to_owned();
-    let member = Member {
+    let member = EndpointRecord {
         endpoint: endpoint_id(&name),
         destination: DestinationId(value.get_u64("cell").unwrap_or(u64::MAX)),
         zone: place(&names.zones, "zone") as u32,
--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -6,7 +6,7 @@
 use crate::net::list::dns_sd::DnsSd;
 use crate::net::list::{self, endpoint_id, Entry, Names, News};
 use crate::net::servers::http::Servers;
-use crate::{DestinationId, Lifecycle, ListScope, Member, Micros};
+use crate::{DestinationId, EndpointRecord, Lifecycle, ListScope, Micros};
 
 impl Node {
     /// Members hear what discovery told. Cost: the list, where it has changed.
@@ -82,7 +82,7 @@
 }
 
 /// Addresses go to the servers, the rest to the core.
-pub(super) fn learn(servers: &mut Servers, news: &News) -> Vec<Member> {
+pub(super) fn learn(servers: &mut Servers, news: &News) -> Vec<EndpointRecord> {
     for entry in &news.entries {
         if let Some(address) = entry.address {
             servers.learn(entry.member.endpoint, address);
@@ -93,7 +93,7 @@
 
 /// A partner's broker as a service entry.
 pub(in crate::net) fn entry(broker: &Broker) -> Entry {
-    let member = Member {
+    let member = EndpointRecord {
         endpoint: endpoint_id(&broker.name),
         destination: DestinationId(broker.cell),
         zone: 0,
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -265,9 +265,9 @@
         if let (Some(lookups), Some(found)) = (&mut dns_sd, first.looked_up.take()) {
             lookups.follow_up(found);
         }
-        let spread = Spread::new(model.core.settings.senders, seed);
+        let spread = Spread::new(model.core.settings.forwarders, seed);
         let mut watch = Watch::new(model.discovery, names, first.generation, now, spread);
-        let siblings = model.core.settings.senders;
+        let siblings = model.core.settings.forwarders;
         let before = handed.as_ref().and_then(|state| state.members.clone());
         let members = model.members.as_ref().zip(listening.members).map(|(told, socket)| {
             let start = members::Start { told, siblings, seed, folder: &folder, handed: before };
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -8,7 +8,7 @@
 use crate::net::list::endpoint_id;
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::Stream;
-use crate::{EndpointId, Micros, Outcome};
+use crate::{AttemptOutcome, EndpointId, Micros};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -358,7 +358,8 @@
             }
             method::ACK | method::NACK => {
                 let (tag, bits) = (args.long_long()?, args.octet()?);
-                let outcome = if name == method::ACK { Outcome::Served } else { Outcome::Error };
+                let outcome =
+                    if name == method::ACK { AttemptOutcome::Delivered } else { AttemptOutcome::Error };
                 if let Some(channel) = self.channels.get_mut(&number) {
                     channel.confirmed(tag, bits & 1 != 0, outcome, inputs);
                 }
@@ -370,14 +371,14 @@
 }
 
 impl Channel {
-    fn confirmed(&mut self, tag: u64, multiple: bool, outcome: Outcome, inputs: &mut Vec<Input>) {
+    fn confirmed(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
         let Some(out) = &mut self.call else { return };
         let named = |open: u64| open == tag || multiple && (open < tag || tag == 0);
         let results: Vec<_> = out
             .open
             .iter()
             .filter(|(open, ..)| named(*open))
-            .map(|&(_, place, _)| (place, outcome, outcome == Outcome::Served))
+            .map(|&(_, place, _)| (place, outcome, outcome == AttemptOutcome::Delivered))
             .collect();
         out.open.retain(|(open, ..)| !named(*open));
         self.settled(results, inputs);
@@ -391,10 +392,10 @@
         let Some(out) = &mut self.call else { return };
         let of = out.open.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
         let Some((_, place, _)) = of.map(|index| out.open.remove(index)) else { return };
-        self.settled(vec![(place, Outcome::Full { wait: None }, false)], inputs);
+        self.settled(vec![(place, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
     }
 
-    fn settled(&mut self, results: Vec<(usize, Outcome, bool)>, inputs: &mut Vec<Input>) {
+    fn settled(&mut self, results: Vec<(usize, AttemptOutcome, bool)>, inputs: &mut Vec<Input>) {
         let Some(out) = &self.call else { return };
         if !results.is_empty() {
             inputs.push(Input::Answered { call: out.call, results, wait: None });
--- a/src/net/servers/http.rs
+++ b/src/net/servers/http.rs
@@ -5,7 +5,7 @@
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::{HandedStream, Stream};
 use crate::report::Report;
-use crate::{EndpointId, Micros, Outcome};
+use crate::{AttemptOutcome, EndpointId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -421,7 +421,7 @@
                 if !out.told && !out.batch && http::first_line(input) == Some(200) {
                     out.told = true;
                     self.calls.remove(&out.call);
-                    let results = vec![(0, Outcome::Served, true)];
+                    let results = vec![(0, AttemptOutcome::Delivered, true)];
                     inputs.push(Input::Answered { call: out.call, results, wait: None });
                 }
                 match partial_or_bad {
@@ -524,40 +524,40 @@
     let wait = told_wait(&answer.headers);
     let slots_taken = answer.headers.get("X-Over-Slots").is_some_and(|value| value.trim() == "1");
     let each = |outcome, over| (0..out.ids.len()).map(|place| (place, outcome, over)).collect();
-    let results: Vec<(usize, Outcome, bool)> = match answer.status {
+    let results: Vec<(usize, AttemptOutcome, bool)> = match answer.status {
         200 if out.batch => {
             let mut results: Vec<_> =
                 out.ids.iter().enumerate().map(|(place, id)| line(place, id, answer, wait)).collect();
             // The module takes the last word for the call's: a refusal says more than a delivery.
-            results.sort_by_key(|result| u8::from(result.1 != Outcome::Served));
+            results.sort_by_key(|result| u8::from(result.1 != AttemptOutcome::Delivered));
             results
         }
-        200 => each(Outcome::Served, true),
-        503 if slots_taken => each(Outcome::Moot, false),
-        503 if new && answer.close && wait.is_none() => each(Outcome::TableFull, false),
-        429 | 503 => each(Outcome::Full { wait }, false),
-        504 => each(Outcome::Moot, false),
-        410 => each(Outcome::Moot, true),
+        200 => each(AttemptOutcome::Delivered, true),
+        503 if slots_taken => each(AttemptOutcome::NotSent, false),
+        503 if new && answer.close && wait.is_none() => each(AttemptOutcome::ConnectionLimitReached, false),
+        429 | 503 => each(AttemptOutcome::Rejected { retry_after: wait }, false),
+        504 => each(AttemptOutcome::NotSent, false),
+        410 => each(AttemptOutcome::NotSent, true),
         status => {
             if status != 500 {
                 log!("servers: answer {status} to a call of {}", out.ids.len());
             }
-            each(Outcome::Error, false)
+            each(AttemptOutcome::Error, false)
         }
     };
     Input::Answered { call: out.call, results, wait }
 }
 
 /// What the answer to a call of several says of one; silence may mean that it has run.
-fn line(place: usize, id: &[u8], answer: &Answer, wait: Option<Micros>) -> (usize, Outcome, bool) {
+fn line(place: usize, id: &[u8], answer: &Answer, wait: Option<Micros>) -> (usize, AttemptOutcome, bool) {
     let lines = answer.body.split(|&byte| byte == b'\n').map(<[u8]>::trim_ascii);
     let mut ends = lines.filter_map(|line| line.strip_prefix(id)?.strip_prefix(b" "));
     match ends.next() {
-        Some(b"delivered") => (place, Outcome::Served, true),
-        Some(b"refused") => (place, Outcome::Full { wait }, false),
-        Some(b"over") => (place, Outcome::Moot, true),
-        Some(b"spent") => (place, Outcome::Moot, false),
-        _ => (place, Outcome::Error, false),
+        Some(b"delivered") => (place, AttemptOutcome::Delivered, true),
+        Some(b"refused") => (place, AttemptOutcome::Rejected { retry_after: wait }, false),
+        Some(b"over") => (place, AttemptOutcome::NotSent, true),
+        Some(b"spent") => (place, AttemptOutcome::NotSent, false),
+        _ => (place, AttemptOutcome::Error, false),
     }
 }
 
--- a/src/net/servers/http/tests.rs
+++ b/src/net/servers/http/tests.rs
@@ -12,11 +12,11 @@
         let Input::Answered { results, .. } = outcome(&out, &answer, new) else { panic!("{head}") };
         results[0].1
     };
-    let full = Outcome::Full { wait: None };
-    assert_eq!(told("503 Busy\r\nConnection: close", true), Outcome::TableFull);
+    let full = AttemptOutcome::Rejected { retry_after: None };
+    assert_eq!(told("503 Busy\r\nConnection: close", true), AttemptOutcome::ConnectionLimitReached);
     assert_eq!(told("503 Busy\r\nConnection: close", false), full, "the call was heard before");
     assert_eq!(told("503 Busy", true), full, "it stays open");
-    let wait = Outcome::Full { wait: Some(Micros(300_000)) };
+    let wait = AttemptOutcome::Rejected { retry_after: Some(Micros(300_000)) };
     assert_eq!(told("503 Shut\r\nConnection: close\r\nX-RateLimit-Wait-Ms: 300", true), wait);
 }
 
--- a/src/report.rs
+++ b/src/report.rs
@@ -35,7 +35,7 @@
     }
 
     /// The places of the two figures among the names that the settings list.
-    pub fn places<'a>(names: impl Iterator<Item = &'a str> + Clone) -> Option<(usize, usize)> {
+    pub fn indices<'a>(names: impl Iterator<Item = &'a str> + Clone) -> Option<(usize, usize)> {
         let place = |wanted| names.clone().position(|name| name == wanted);
         Some((place(LEFT)?, place(LIMIT)?))
     }
--- a/src/report/tests.rs
+++ b/src/report/tests.rs
@@ -14,6 +14,6 @@
 
 #[test]
 fn figures_stand_where_the_settings_name_them() {
-    assert_eq!(Report::places(["busy", "x1", "x0"].into_iter()), Some((2, 1)));
-    assert_eq!(Report::places(["busy", "x1"].into_iter()), None);
+    assert_eq!(Report::indices(["busy", "x1", "x0"].into_iter()), Some((2, 1)));
+    assert_eq!(Report::indices(["busy", "x1"].into_iter()), None);
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 
 use crate::report::Report;
 use crate::tenancy::Isolation;
-use crate::{ClassSettings, Effect, Fade, KeyScope, KindSettings, Micros, Settings, Weights};
+use crate::{ClassSettings, Effect, KeyScope, KindSettings, Micros, Settings, Weights, WorthDecay};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -72,10 +72,10 @@
 }
 
 /// Where the figures of a report stand among those that come with an outcome.
-pub fn report_places(info: &[u8]) -> Option<(usize, usize)> {
+pub fn report_indices(info: &[u8]) -> Option<(usize, usize)> {
     let mut lines = std::str::from_utf8(info).ok()?.lines();
     let names = lines.find_map(|line| line.strip_prefix("report.names="))?;
-    Report::places(names.split(','))
+    Report::indices(names.split(','))
 }
 
 /// Nothing is told of isolation: each tenant has its part by its quota, beside the others'.
@@ -95,7 +95,7 @@
     let apart = pairs.list::<bool>("domain.ownLimits")?;
     let kinds = (0..batches.len().max(apart.len()))
         .map(|index| KindSettings {
-            routes_apart: apart.get(index).copied().unwrap_or(false),
+            separate_routes: apart.get(index).copied().unwrap_or(false),
             batch: batches.get(index).copied().unwrap_or(1),
         })
         .collect();
@@ -113,24 +113,24 @@
             Some("rough") => Weights::Rough,
             _ => Weights::Absent,
         },
-        fade: match pairs.text("domain.fades") {
-            Some("halves") => Fade::Halves,
-            _ => Fade::Line,
+        worth_decay: match pairs.text("domain.fades") {
+            Some("halves") => WorthDecay::Halving,
+            _ => WorthDecay::Linear,
         },
-        senders: pairs.maybe("siblings")?.unwrap_or(1),
+        forwarders: pairs.maybe("siblings")?.unwrap_or(1),
         slots: pairs.some("domain.callsOut", pairs.maybe("domain.callsOut")?.unwrap_or(u32::MAX))?,
-        max_open: pairs.maybe("policyLimits.maxOpen")?.unwrap_or(u32::MAX),
+        max_messages: pairs.maybe("policyLimits.maxOpen")?.unwrap_or(u32::MAX),
         max_attempts: pairs.some("policyLimits.maxAttempts", pairs.needed("policyLimits.maxAttempts")?)?,
-        cancels: pairs.flag("policyLimits.cancelling")?,
+        can_cancel: pairs.flag("policyLimits.cancelling")?,
         must_subscribe: pairs.text("registryMode") == Some("subscribe"),
         max_retry_after: pairs.time_or_zero("policyLimits.maxRetryAfterMs")?,
         connection_idle: pairs.time_or_zero("policyLimits.connIdleMs")?,
         drain_grace: pairs.time("contract.drainGraceMs")?,
-        cold_from: pairs.needed("contract.coldFrom")?,
-        cold_time: pairs.time("contract.coldMs")?,
-        fall_multiple: pairs.needed("contract.fallMultiple")?,
-        fall_window: pairs.time("contract.overloadForMs")?,
-        key_rest: pairs.time_or_zero("contract.keyRestMs")?,
+        recovery_start_share: pairs.needed("contract.coldFrom")?,
+        recovery_time: pairs.time("contract.coldMs")?,
+        overload_multiple: pairs.needed("contract.fallMultiple")?,
+        overload_window: pairs.time("contract.overloadForMs")?,
+        key_backoff: pairs.time_or_zero("contract.keyRestMs")?,
     })
 }
 
@@ -155,7 +155,7 @@
     Ok(ClassSettings {
         effect,
         in_order: pairs.flag(&path("inOrder"))?,
-        aim: pairs.time(&path("objectiveMs"))?,
+        target_time: pairs.time(&path("objectiveMs"))?,
         deadline: pairs.time(&path("hardLimitMs"))?,
         worth: pairs.maybe(&path("worth"))?.unwrap_or(1.0),
         late_share: pairs.maybe(&path("lateShare"))?.unwrap_or(0.0),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -38,9 +38,9 @@
     let window = Micros(1_000_000);
     assert_eq!(told.classes[0].effect, Effect::Keyed { window, scope: KeyScope::Zone });
     // A time that is over before its aim is no contradiction: the aim is not reached.
-    assert!(told.classes[1].deadline < told.classes[1].aim);
-    assert_eq!((told.slots, told.max_attempts, told.senders), (3, 2, 1));
-    assert_eq!((told.drain_grace, told.cold_time), (Micros(30_000), Micros(100_000)));
+    assert!(told.classes[1].deadline < told.classes[1].target_time);
+    assert_eq!((told.slots, told.max_attempts, told.forwarders), (3, 2, 1));
+    assert_eq!((told.drain_grace, told.recovery_time), (Micros(30_000), Micros(100_000)));
 }
 
 #[test]
--- a/src/startup/lists.rs
+++ b/src/startup/lists.rs
@@ -3,7 +3,7 @@
 
 use super::transfer::{self, Fetch, Progress, Wanted};
 use super::{digest, elect, Edition, Holding};
-use crate::tenancy::rate::{Arrivals, Rate};
+use crate::tenancy::rate::{ArrivalLimiter, Rate};
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
 
 /// Requests for pieces that are answered; each brings eight pieces at the most. Whoever is not answered asks again, and then
 /// another member. Far above what a fleet asks that starts at once: a storm of them takes no more than this of the loop.
-const ANSWERED: Rate = Rate { a_second: 200.0, burst: 64 };
+const ANSWERED: Rate = Rate { per_second: 200.0, burst: 64 };
 
 struct Held {
     edition: Edition,
@@ -114,7 +114,7 @@
     /// When somebody last heard discovery confirm what is held.
     confirmed: Option<Micros>,
     /// Requests for pieces, as they come.
-    requests: Arrivals,
+    requests: ArrivalLimiter,
     /// Counts.
     pub stats: Stats,
 }
@@ -125,7 +125,7 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let lone = Lone::begin(now, if seeded { ALONE } else { (0, 0) }, &mut random);
         let ask_from = if seeded { lone.over(1) } else { now };
-        let mut requests = Arrivals::default();
+        let mut requests = ArrivalLimiter::default();
         requests.configure(vec![Some(ANSWERED)]);
         Lists {
             cluster: cluster.to_owned(),
@@ -353,7 +353,7 @@
         if *edition != wanted.edition {
             return Vec::new();
         }
-        if self.requests.take(0, now).is_err() {
+        if self.requests.admit(0, now).is_err() {
             self.stats.unanswered += 1;
             return Vec::new();
         }
--- a/src/tenancy/gate.rs
+++ b/src/tenancy/gate.rs
@@ -19,18 +19,18 @@
 
 /// Who may go just now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Open {
+pub enum Eligibility {
     /// All whose shares allow it.
     All,
     /// Those below their guarantees.
-    Below,
+    BelowGuarantee,
     /// Those that have not used up their part of the round.
     Round,
 }
 
 /// See the module's text.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct FairScheduler {
     slots: Shares,
     weights: Vec<f64>,
     /// Slots ran short, and there has been no moment since when all that could go had gone and slots were left.
@@ -39,7 +39,7 @@
     left: BTreeMap<usize, f64>,
 }
 
-impl Gate {
+impl FairScheduler {
     /// Other bounds and weights, by place. Calls that are out stay as they are.
     pub fn configure(&mut self, slots: u32, isolation: &[Isolation]) {
         let told: Vec<_> = isolation.iter().map(|one| (one.weight, one.slots)).collect();
@@ -51,35 +51,35 @@
     }
 
     /// Who may go, of those that have something that could, in the order of their places.
-    pub fn turn(&mut self, waiting: impl Iterator<Item = usize> + Clone) -> Open {
+    pub fn eligibility(&mut self, waiting: impl Iterator<Item = usize> + Clone) -> Eligibility {
         if self.weights.len() <= 1 {
-            return Open::All;
+            return Eligibility::All;
         }
-        let (used, size) = self.slots.total();
+        let (used, size) = self.slots.usage();
         if size.saturating_sub(used) * SHORT <= size {
             self.short = true;
-        } else if self.short && !waiting.clone().any(|place| self.may(place)) {
+        } else if self.short && !waiting.clone().any(|place| self.has_share(place)) {
             self.short = false;
             self.left.clear();
         }
         if !self.short {
-            return Open::All;
+            return Eligibility::All;
         }
-        if waiting.clone().any(|place| self.slots.below(place)) {
-            return Open::Below;
+        if waiting.clone().any(|place| self.slots.is_below_guarantee(place)) {
+            return Eligibility::BelowGuarantee;
         }
-        let may: Vec<usize> = waiting.filter(|&place| self.may(place)).collect();
+        let may: Vec<usize> = waiting.filter(|&place| self.has_share(place)).collect();
         let mut rounds = f64::INFINITY;
         for &place in &may {
             let left = self.left.get(&place).copied().unwrap_or(0.0);
             if left > 0.0 {
-                return Open::Round;
+                return Eligibility::Round;
             }
             rounds = rounds.min((-left / self.quantum(place)).floor() + 1.0);
         }
         // Where all that wait are in debt, as many rounds pass at once as the first needs to come out of it.
         if may.is_empty() {
-            return Open::Round;
+            return Eligibility::Round;
         }
         let weights = &self.weights;
         let quantum = |place: usize| QUANTUM * weights.get(place).copied().unwrap_or(1.0);
@@ -91,7 +91,7 @@
             *left = (*left + rounds * quantum(place)).min(rounds * quantum(place));
             *left < 0.0 || may.binary_search(&place).is_ok()
         });
-        Open::Round
+        Eligibility::Round
     }
 
     fn quantum(&self, place: usize) -> f64 {
@@ -99,32 +99,34 @@
     }
 
     /// Whether a tenant is one of those that may go.
-    pub fn goes(&self, place: usize, open: Open) -> bool {
+    pub fn is_eligible(&self, place: usize, open: Eligibility) -> bool {
         match open {
-            Open::All => self.may(place),
-            Open::Below => self.slots.below(place),
-            Open::Round => self.may(place) && self.left.get(&place).is_some_and(|left| *left > 0.0),
+            Eligibility::All => self.has_share(place),
+            Eligibility::BelowGuarantee => self.slots.is_below_guarantee(place),
+            Eligibility::Round => {
+                self.has_share(place) && self.left.get(&place).is_some_and(|left| *left > 0.0)
+            }
         }
     }
 
     /// Whether its share allows a tenant another slot. Where none is free, the module alone decides whether one is to be
     /// taken from a call that hangs.
-    pub fn may(&self, place: usize) -> bool {
-        let (used, size) = self.slots.total();
-        self.weights.is_empty() || used >= size || self.slots.may(place, 1).is_ok()
+    pub fn has_share(&self, place: usize) -> bool {
+        let (used, size) = self.slots.usage();
+        self.weights.is_empty() || used >= size || self.slots.check(place, 1).is_ok()
     }
 
     /// A tenant's message opens a call that is expected to keep its slot so long.
-    pub fn opened(&mut self, place: usize, expected: Micros) {
-        self.slots.take(place, 1);
+    pub fn call_started(&mut self, place: usize, expected: Micros) {
+        self.slots.acquire(place, 1);
         if let Some(left) = self.left.get_mut(&place) {
             *left = (*left - expected.0 as f64).max(-MOST_DEBT);
         }
     }
 
     /// A call has ended after so long.
-    pub fn ended(&mut self, place: usize, expected: Micros, spent: Micros) {
-        self.slots.give(place, 1);
+    pub fn call_ended(&mut self, place: usize, expected: Micros, spent: Micros) {
+        self.slots.release(place, 1);
         if let Some(left) = self.left.get_mut(&place) {
             *left = (*left + expected.0 as f64 - spent.0 as f64).max(-MOST_DEBT);
         }
--- a/src/tenancy/gate/tests.rs
+++ b/src/tenancy/gate/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::tenancy::Told;
+use crate::tenancy::ShareLimits;
 use proptest::prelude::*;
 
 /// A run in steps of 10 ms: tenants with as much to send as told, each with a call time of its own. Tells the slots that
 /// each had on average in the second half, and checks the rule on guarantees at each step.
 fn run(slots: u32, isolation: &[Isolation], demand: &[u32], call_ms: &[u64]) -> Vec<f64> {
-    let mut gate = Gate::default();
+    let mut gate = FairScheduler::default();
     gate.configure(slots, isolation);
     let mut out: Vec<(u64, usize, u64)> = Vec::new();
     let mut had = vec![0.0; demand.len()];
@@ -14,18 +14,18 @@
         let over: Vec<_> = out.iter().copied().filter(|call| call.0 <= now).collect();
         out.retain(|call| call.0 > now);
         for (_, place, began) in over {
-            gate.ended(place, Micros(call_ms[place] * 1000), Micros((now - began) * 1000));
+            gate.call_ended(place, Micros(call_ms[place] * 1000), Micros((now - began) * 1000));
         }
         while out.len() < slots as usize {
             let busy =
                 |place: usize| out.iter().filter(|call| call.1 == place).count() < demand[place] as usize;
             let waiting: Vec<usize> = (0..demand.len()).filter(|&place| busy(place)).collect();
-            let open = gate.turn(waiting.iter().copied());
-            let Some(&place) = waiting.iter().find(|&&place| gate.goes(place, open)) else { break };
+            let open = gate.eligibility(waiting.iter().copied());
+            let Some(&place) = waiting.iter().find(|&&place| gate.is_eligible(place, open)) else { break };
             let above = gate.slots.used(place) >= gate.slots.bounds(place).guarantee;
-            let starved = waiting.iter().any(|&other| gate.slots.below(other));
+            let starved = waiting.iter().any(|&other| gate.slots.is_below_guarantee(other));
             assert!(!(above && starved && gate.short), "one above its guarantee before one below");
-            gate.opened(place, Micros(call_ms[place] * 1000));
+            gate.call_started(place, Micros(call_ms[place] * 1000));
             out.push((now + call_ms[place], place, now));
         }
         if step >= 2_000 {
@@ -47,14 +47,14 @@
 
 #[test]
 fn a_ceiling_binds_a_tenant_alone_too() {
-    let slots = Told { guarantee: None, ceiling: Some(3) };
+    let slots = ShareLimits { guarantee: None, ceiling: Some(3) };
     let had = run(10, &[Isolation { slots, ..Isolation::default() }], &[99], &[200]);
     assert!((had[0] - 3.0).abs() < 1e-9, "{had:?}");
 }
 
 #[test]
 fn weights_part_what_guarantees_do_not() {
-    let told = Told { guarantee: Some(0), ceiling: None };
+    let told = ShareLimits { guarantee: Some(0), ceiling: None };
     let one = |weight| Isolation { weight, slots: told, ..Isolation::default() };
     let had = run(60, &[one(1.0), one(2.0), one(3.0)], &[99, 99, 99], &[200, 200, 200]);
     for (place, due) in [10.0, 20.0, 30.0].into_iter().enumerate() {
--- a/src/tenancy/intake.rs
+++ b/src/tenancy/intake.rs
@@ -2,15 +2,15 @@
 //!
 //! Cost: O(1) an offer.
 
-use super::rate::Arrivals;
-use super::share::{bounds, Refused, Shares};
-use super::{Isolation, Told};
+use super::rate::ArrivalLimiter;
+use super::share::{bounds, ShareError, Shares};
+use super::{Isolation, ShareLimits};
 use crate::Micros;
 
 /// See the module's text.
 #[derive(Clone, Debug, Default)]
-pub struct Intake {
-    arrivals: Arrivals,
+pub struct AdmissionControl {
+    arrivals: ArrivalLimiter,
     held: Shares,
     bytes: Shares,
     /// Until then what is given back is kept for those below their guarantees: one of them was refused.
@@ -22,17 +22,17 @@
 
 /// Why an offer is not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shut {
+pub enum AdmissionError {
     /// Its tenant offers too fast; one would be let in after so long.
-    Fast(Micros),
+    RateExceeded(Micros),
     /// There is no room for its tenant.
-    Full(Refused),
+    NoCapacity(ShareError),
 }
 
-impl Intake {
+impl AdmissionControl {
     /// Other bounds, by place: of messages held, and of their bytes.
     pub fn configure(&mut self, (held, bytes): (u64, u64), isolation: &[Isolation]) {
-        let told = |which: fn(&Isolation) -> Told| -> Vec<(f64, Told)> {
+        let told = |which: fn(&Isolation) -> ShareLimits| -> Vec<(f64, ShareLimits)> {
             isolation.iter().map(|one| (one.weight, which(one))).collect()
         };
         self.held.configure(held, &bounds(held, &told(|one| one.held)));
@@ -41,42 +41,45 @@
     }
 
     /// Whether one of so many bytes may come in now, where there is room for anyone. Counted as an arrival where it may.
-    pub fn ask(&mut self, place: usize, bytes: u64, room: bool, now: Micros) -> Result<(), Shut> {
-        let room = if room { Ok(()) } else { Err(Refused::NoRoom) };
-        let asked = room.and_then(|()| self.held.may(place, 1)).and_then(|()| self.bytes.may(place, bytes));
-        let own = self.held.below(place) && self.bytes.below(place);
+    pub fn admit(&mut self, place: usize, bytes: u64, room: bool, now: Micros) -> Result<(), AdmissionError> {
+        let room = if room { Ok(()) } else { Err(ShareError::Exhausted) };
+        let asked =
+            room.and_then(|()| self.held.check(place, 1)).and_then(|()| self.bytes.check(place, bytes));
+        let own = self.held.is_below_guarantee(place) && self.bytes.is_below_guarantee(place);
         match asked {
-            Ok(()) if !own && now < self.claimed_until => return Err(Shut::Full(Refused::Reserved)),
+            Ok(()) if !own && now < self.claimed_until => {
+                return Err(AdmissionError::NoCapacity(ShareError::Reserved))
+            }
             Ok(()) => {}
             Err(refused) => {
                 // Lent to others: what they give back is the owner's before it is lent again.
-                if own && refused != Refused::Ceiling {
+                if own && refused != ShareError::CeilingReached {
                     self.claimed_until = now.plus(CLAIM);
                 }
-                return Err(Shut::Full(refused));
+                return Err(AdmissionError::NoCapacity(refused));
             }
         }
-        self.arrivals.take(place, now).map_err(Shut::Fast)
+        self.arrivals.admit(place, now).map_err(AdmissionError::RateExceeded)
     }
 
     /// One is held from now on.
-    pub fn opened(&mut self, place: usize) {
-        self.held.take(place, 1);
+    pub fn add_message(&mut self, place: usize) {
+        self.held.acquire(place, 1);
     }
 
     /// One is held no longer; what is kept of it until its end is told still has bytes.
-    pub fn ended(&mut self, place: usize) {
-        self.held.give(place, 1);
+    pub fn remove_message(&mut self, place: usize) {
+        self.held.release(place, 1);
     }
 
     /// So many bytes more are kept.
-    pub fn grown(&mut self, place: usize, bytes: u64) {
-        self.bytes.take(place, bytes);
+    pub fn add_bytes(&mut self, place: usize, bytes: u64) {
+        self.bytes.acquire(place, bytes);
     }
 
     /// So many fewer.
-    pub fn shrunk(&mut self, place: usize, bytes: u64) {
-        self.bytes.give(place, bytes);
+    pub fn release_bytes(&mut self, place: usize, bytes: u64) {
+        self.bytes.release(place, bytes);
     }
 
     /// Messages held, and their bytes.
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -9,7 +9,7 @@
 
 /// Bounds that an operator tells for one resource, in its unit; what is absent is parted by weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct ShareLimits {
     /// So much is a tenant's own.
     pub guarantee: Option<u64>,
     /// It never has more.
@@ -22,11 +22,11 @@
     /// Its part of what is not told, beside the others' weights. Zero for one that is gone: nothing is kept for it.
     pub weight: f64,
     /// Call slots.
-    pub slots: Told,
+    pub slots: ShareLimits,
     /// Messages held.
-    pub held: Told,
+    pub held: ShareLimits,
     /// Bytes of messages held.
-    pub bytes: Told,
+    pub bytes: ShareLimits,
     /// Offers a second.
     pub arrivals: Option<rate::Rate>,
 }
@@ -35,9 +35,9 @@
     fn default() -> Self {
         Isolation {
             weight: 1.0,
-            slots: Told::default(),
-            held: Told::default(),
-            bytes: Told::default(),
+            slots: ShareLimits::default(),
+            held: ShareLimits::default(),
+            bytes: ShareLimits::default(),
             arrivals: None,
         }
     }
@@ -45,11 +45,11 @@
 
 impl Isolation {
     /// One that is gone from the configuration.
-    pub const GONE: Isolation = Isolation {
+    pub const REMOVED: Isolation = Isolation {
         weight: 0.0,
-        slots: Told { guarantee: None, ceiling: None },
-        held: Told { guarantee: None, ceiling: None },
-        bytes: Told { guarantee: None, ceiling: None },
+        slots: ShareLimits { guarantee: None, ceiling: None },
+        held: ShareLimits { guarantee: None, ceiling: None },
+        bytes: ShareLimits { guarantee: None, ceiling: None },
         arrivals: None,
     };
 }
--- a/src/tenancy/rate.rs
+++ b/src/tenancy/rate.rs
@@ -9,20 +9,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
     /// Offers a second, above zero.
-    pub a_second: f64,
+    pub per_second: f64,
     /// Offers that may come at once, one at least.
     pub burst: u32,
 }
 
 /// See the module's text.
 #[derive(Clone, Debug, Default)]
-pub struct Arrivals {
+pub struct ArrivalLimiter {
     rates: Vec<Option<Rate>>,
     /// When the next offer is expected, by place, in microseconds.
     expected: Vec<f64>,
 }
 
-impl Arrivals {
+impl ArrivalLimiter {
     /// Other rates, by place; what was used under the old ones still counts.
     pub fn configure(&mut self, rates: Vec<Option<Rate>>) {
         self.expected.resize(self.expected.len().max(rates.len()), 0.0);
@@ -30,10 +30,10 @@
     }
 
     /// An offer is there: counted, or refused with how long until one would not be.
-    pub fn take(&mut self, place: usize, now: Micros) -> Result<(), Micros> {
+    pub fn admit(&mut self, place: usize, now: Micros) -> Result<(), Micros> {
         let Some(&Some(rate)) = self.rates.get(place) else { return Ok(()) };
         let Some(expected) = self.expected.get_mut(place) else { return Ok(()) };
-        let each = 1e6 / rate.a_second;
+        let each = 1e6 / rate.per_second;
         let early = *expected - now.0 as f64;
         let leeway = each * f64::from(rate.burst.max(1) - 1);
         // A rate that was raised, or a clock that was set back, leaves no debt of more than a full burst.
--- a/src/tenancy/rate/tests.rs
+++ b/src/tenancy/rate/tests.rs
@@ -3,37 +3,37 @@
 
 #[test]
 fn a_burst_and_then_evenly_and_the_wait_told_is_enough() {
-    let mut arrivals = Arrivals::default();
-    arrivals.configure(vec![Some(Rate { a_second: 10.0, burst: 3 }), None]);
+    let mut arrivals = ArrivalLimiter::default();
+    arrivals.configure(vec![Some(Rate { per_second: 10.0, burst: 3 }), None]);
     let now = Micros(5_000_000);
-    let taken = (0..9).filter(|_| arrivals.take(0, now).is_ok()).count();
+    let taken = (0..9).filter(|_| arrivals.admit(0, now).is_ok()).count();
     assert_eq!(taken, 3);
-    let wait = arrivals.take(0, now).unwrap_err();
+    let wait = arrivals.admit(0, now).unwrap_err();
     assert_eq!(wait, Micros(100_000));
-    assert!(arrivals.take(0, now.plus(Micros(99_990))).is_err());
-    assert_eq!(arrivals.take(0, now.plus(wait)), Ok(()));
-    assert!((0..1000).all(|_| arrivals.take(1, now).is_ok()));
+    assert!(arrivals.admit(0, now.plus(Micros(99_990))).is_err());
+    assert_eq!(arrivals.admit(0, now.plus(wait)), Ok(()));
+    assert!((0..1000).all(|_| arrivals.admit(1, now).is_ok()));
 }
 
 proptest! {
     /// Over any span, no more than the burst and what the rate allows; who keeps to the waits is not refused.
     #[test]
-    fn never_more_than_the_rate(a_second in 0.5f64..500.0, burst in 1u32..20, gaps in proptest::collection::vec(0u64..400_000, 1..300)) {
-        let mut arrivals = Arrivals::default();
-        arrivals.configure(vec![Some(Rate { a_second, burst })]);
+    fn never_more_than_the_rate(per_second in 0.5f64..500.0, burst in 1u32..20, gaps in proptest::collection::vec(0u64..400_000, 1..300)) {
+        let mut arrivals = ArrivalLimiter::default();
+        arrivals.configure(vec![Some(Rate { per_second, burst })]);
         let (mut now, mut taken) = (Micros(0), Vec::new());
         for gap in gaps {
             now = now.plus(Micros(gap));
-            match arrivals.take(0, now) {
+            match arrivals.admit(0, now) {
                 Ok(()) => taken.push(now),
                 Err(wait) => {
-                    prop_assert!(arrivals.clone().take(0, now.plus(wait)).is_ok());
+                    prop_assert!(arrivals.clone().admit(0, now.plus(wait)).is_ok());
                 }
             }
             let within = |since: Micros| taken.iter().filter(|at| **at >= since).count() as f64;
             for &since in &taken {
                 let span = now.minus(since).0 as f64 / 1e6;
-                prop_assert!(within(since) <= f64::from(burst) + span * a_second + 1e-6);
+                prop_assert!(within(since) <= f64::from(burst) + span * per_second + 1e-6);
             }
         }
     }
--- a/src/tenancy/share.rs
+++ b/src/tenancy/share.rs
@@ -4,7 +4,7 @@
 //!
 //! Cost: a question, a use and its end O(1); a change of the settings O(tenants). 48 bytes a tenant.
 
-use super::Told;
+use super::ShareLimits;
 
 /// The part of a guarantee that is not lent: its owner starts at once when it returns.
 const RESERVED: f64 = 0.25;
@@ -22,24 +22,24 @@
 
 /// Why a tenant may not have more just now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ShareError {
     /// There is no room for anyone.
-    NoRoom,
+    Exhausted,
     /// It has reached its ceiling.
-    Ceiling,
+    CeilingReached,
     /// What is left is kept for others.
     Reserved,
 }
 
 /// Bounds where each tenant tells what it wants; what is not told is parted by weight among those who do not tell.
 /// One tenant alone has all of it.
-pub fn bounds(size: u64, told: &[(f64, Told)]) -> Vec<Bounds> {
+pub fn bounds(size: u64, told: &[(f64, ShareLimits)]) -> Vec<Bounds> {
     let alone = told.iter().filter(|(weight, _)| *weight > 0.0).count() <= 1;
     let taken: u64 = told.iter().filter_map(|(_, told)| told.guarantee).fold(0, u64::saturating_add);
     let rest = size.saturating_sub(taken) as f64;
     let weights: f64 =
         told.iter().filter(|(_, told)| told.guarantee.is_none()).map(|(weight, _)| weight).sum();
-    let one = |&(weight, told): &(f64, Told)| {
+    let one = |&(weight, told): &(f64, ShareLimits)| {
         let part = if weights > 0.0 { rest * weight / weights } else { 0.0 };
         let own = told.guarantee.map_or(part, |own| own as f64);
         let ceiling = told.ceiling.unwrap_or(size).min(size);
@@ -85,31 +85,31 @@
     }
 
     /// Whether a tenant may have so much more.
-    pub fn may(&self, place: usize, more: u64) -> Result<(), Refused> {
+    pub fn check(&self, place: usize, more: u64) -> Result<(), ShareError> {
         let share = self.of.get(place).copied().unwrap_or_default();
         let (own, all) = (share.used.saturating_add(more), self.used.saturating_add(more));
         if all > self.size {
-            return Err(Refused::NoRoom);
+            return Err(ShareError::Exhausted);
         }
         if own > share.bounds.ceiling {
-            return Err(Refused::Ceiling);
+            return Err(ShareError::CeilingReached);
         }
         // What it takes of its own reserve is not kept from it.
         let others = self.spare - share.spare();
         if (self.size - all).saturating_mul(1000) >= others {
             Ok(())
         } else {
-            Err(Refused::Reserved)
+            Err(ShareError::Reserved)
         }
     }
 
     /// A tenant has so much more.
-    pub fn take(&mut self, place: usize, more: u64) {
+    pub fn acquire(&mut self, place: usize, more: u64) {
         self.change(place, |used| used + more);
     }
 
     /// A tenant has so much less.
-    pub fn give(&mut self, place: usize, less: u64) {
+    pub fn release(&mut self, place: usize, less: u64) {
         debug_assert!(self.used(place) >= less, "tenant {place} gives back {less} of {}", self.used(place));
         self.change(place, |used| used.saturating_sub(less));
     }
@@ -137,12 +137,12 @@
     }
 
     /// Whether it has less than its guarantee.
-    pub fn below(&self, place: usize) -> bool {
+    pub fn is_below_guarantee(&self, place: usize) -> bool {
         self.of.get(place).is_some_and(|share| share.used < share.bounds.guarantee)
     }
 
     /// What all have, and the size.
-    pub fn total(&self) -> (u64, u64) {
+    pub fn usage(&self) -> (u64, u64) {
         (self.used, self.size)
     }
 }
--- a/src/waiting.rs
+++ b/src/waiting.rs
@@ -5,17 +5,17 @@
 //! anew in a turn are those that something happened to, and a bounded number of others.
 
 use crate::interface::*;
-use crate::tenancy::gate::Gate;
+use crate::tenancy::gate::FairScheduler;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where a message stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spot {
+pub struct WaitingMessage {
     pub destination: DestinationId,
     pub class: usize,
     pub tenant: usize,
-    pub aim: Micros,
+    pub target_time: Micros,
     pub deadline: Micros,
     /// When it must be looked at for its final answer.
     pub ends_at: Micros,
@@ -24,7 +24,7 @@
     /// It has its turn among those of its key only.
     pub ordered: bool,
     /// A start found it, and it has not been tried.
-    pub found: bool,
+    pub recovered: bool,
 }
 
 /// Messages of one destination and one class.
@@ -39,15 +39,15 @@
 const EQUALS: usize = 16;
 
 impl Line {
-    fn put(&mut self, id: MessageId, spot: &Spot) {
-        self.by_aim.insert((spot.aim, id));
+    fn put(&mut self, id: MessageId, spot: &WaitingMessage) {
+        self.by_aim.insert((spot.target_time, id));
         self.by_deadline.insert((spot.deadline, id));
-        self.by_id.insert(id, spot.aim);
+        self.by_id.insert(id, spot.target_time);
     }
 
     /// Tells whether it is empty then.
-    fn take(&mut self, id: MessageId, spot: &Spot) -> bool {
-        self.by_aim.remove(&(spot.aim, id));
+    fn take(&mut self, id: MessageId, spot: &WaitingMessage) -> bool {
+        self.by_aim.remove(&(spot.target_time, id));
         self.by_deadline.remove(&(spot.deadline, id));
         self.by_id.remove(&id);
         self.by_aim.is_empty()
@@ -59,13 +59,13 @@
 
 /// For each tenant, destinations by a figure of each; and all by when it was last taken.
 #[derive(Default)]
-pub struct Ranks {
+pub struct Ranking {
     of: BTreeMap<(DestinationId, usize), (u64, MessageId, Micros)>,
     order: BTreeMap<usize, BTreeSet<(u64, Reverse<MessageId>, DestinationId)>>,
     by_age: BTreeSet<(Micros, DestinationId, usize)>,
 }
 
-impl Ranks {
+impl Ranking {
     /// The destination's figures, not negative, and the messages that they are of, one a tenant; no others stay.
     pub fn set(
         &mut self,
@@ -118,8 +118,8 @@
 
 /// See the module's text.
 #[derive(Default)]
-pub struct Waiting {
-    spots: BTreeMap<MessageId, Spot>,
+pub struct WaitingMessages {
+    spots: BTreeMap<MessageId, WaitingMessage>,
     ends: BTreeSet<(Micros, MessageId)>,
     resting: BTreeSet<(Micros, MessageId)>,
     pub ordered: BTreeSet<MessageId>,
@@ -130,15 +130,15 @@
     opens: BTreeMap<DestinationId, Micros>,
     openings: BTreeSet<(Micros, DestinationId)>,
     /// Open destinations by what gains most there by going now.
-    pub best: Ranks,
+    pub ranking: Ranking,
     /// Something happened there since the last look.
     stirred: BTreeSet<DestinationId>,
 }
 
-impl Waiting {
+impl WaitingMessages {
     /// A message waits from now on.
-    pub fn put(&mut self, id: MessageId, spot: Spot, now: Micros) {
-        self.take(id);
+    pub fn insert(&mut self, id: MessageId, spot: WaitingMessage, now: Micros) {
+        self.remove(id);
         self.ends.insert((spot.ends_at, id));
         self.spots.insert(id, spot);
         if spot.ordered {
@@ -150,20 +150,20 @@
         }
     }
 
-    fn line_up(&mut self, id: MessageId, spot: &Spot) {
+    fn line_up(&mut self, id: MessageId, spot: &WaitingMessage) {
         let classes = self.ready.entry(spot.destination).or_default();
         classes.entry((spot.class, spot.tenant)).or_default().put(id, spot);
-        if spot.found {
+        if spot.recovered {
             self.found.entry((spot.destination, spot.tenant)).or_default().insert((spot.deadline, id));
         }
         self.stirred.insert(spot.destination);
     }
 
     /// A message is not ready to go any more.
-    fn step_out(&mut self, id: MessageId, spot: &Spot) {
+    fn step_out(&mut self, id: MessageId, spot: &WaitingMessage) {
         remove(&mut self.ready, (spot.class, spot.tenant), id, spot);
         let key = (spot.destination, spot.tenant);
-        if let Some(found) = self.found.get_mut(&key).filter(|_| spot.found) {
+        if let Some(found) = self.found.get_mut(&key).filter(|_| spot.recovered) {
             found.remove(&(spot.deadline, id));
             if found.is_empty() {
                 self.found.remove(&key);
@@ -172,7 +172,7 @@
     }
 
     /// Of what a start found untried and is ready to go, the one with the least time left, and its deadline.
-    pub fn untried(
+    pub fn first_recovered(
         &self,
         destination: DestinationId,
         tenant: usize,
@@ -183,13 +183,13 @@
     }
 
     /// What a start found untried and is ready to go to a destination, of all tenants.
-    pub fn untried_of(&self, destination: DestinationId) -> impl Iterator<Item = MessageId> + '_ {
+    pub fn recovered_of(&self, destination: DestinationId) -> impl Iterator<Item = MessageId> + '_ {
         let found = self.found.range((destination, 0)..=(destination, usize::MAX));
         found.flat_map(|(_, found)| found.iter().map(|&(_, id)| id))
     }
 
     /// A message waits no longer.
-    pub fn take(&mut self, id: MessageId) {
+    pub fn remove(&mut self, id: MessageId) {
         let Some(spot) = self.spots.remove(&id) else { return };
         self.ends.remove(&(spot.ends_at, id));
         self.resting.remove(&(spot.ready_at, id));
@@ -198,7 +198,7 @@
     }
 
     /// One of a key has its turn, or no longer.
-    pub fn give_turn(&mut self, id: MessageId, turn: bool) {
+    pub fn set_key_turn(&mut self, id: MessageId, turn: bool) {
         let Some(spot) = self.spots.get(&id).copied() else { return };
         if turn {
             self.line_up(id, &spot);
@@ -208,7 +208,7 @@
     }
 
     /// Pauses that are over.
-    pub fn wake(&mut self, now: Micros) {
+    pub fn end_backoffs(&mut self, now: Micros) {
         while let Some(&(at, id)) = self.resting.first().filter(|(at, _)| *at <= now) {
             self.resting.remove(&(at, id));
             if let Some(spot) = self.spots.get(&id).copied() {
@@ -218,7 +218,7 @@
     }
 
     /// Those that must be looked at for their final answers.
-    pub fn ended(&self, now: Micros) -> Vec<MessageId> {
+    pub fn due_for_outcome(&self, now: Micros) -> Vec<MessageId> {
         let due = self.ends.iter().take_while(|(at, _)| *at <= now);
         let mut due: Vec<MessageId> = due.map(|&(_, id)| id).collect();
         due.sort_unstable();
@@ -226,24 +226,24 @@
     }
 
     /// Something happened at a destination.
-    pub fn stir(&mut self, destination: DestinationId) {
+    pub fn mark_changed(&mut self, destination: DestinationId) {
         self.stirred.insert(destination);
     }
 
     /// Destinations to look at: where something happened, those that may open, and some that were ranked long ago.
-    pub fn look_over(&mut self, now: Micros, most: (usize, usize)) -> Vec<DestinationId> {
+    pub fn destinations_to_rank(&mut self, now: Micros, most: (usize, usize)) -> Vec<DestinationId> {
         let mut all = std::mem::take(&mut self.stirred);
         let due: Vec<_> = self.openings.iter().take_while(|(at, _)| *at <= now).copied().collect();
         for (_, destination) in due {
-            self.opens_at(destination, None);
+            self.set_opening(destination, None);
             all.insert(destination);
         }
-        all.extend(self.best.stalest(most));
+        all.extend(self.ranking.stalest(most));
         all.into_iter().collect()
     }
 
     /// When a destination is looked at again; none takes it out.
-    pub fn opens_at(&mut self, destination: DestinationId, at: Option<Micros>) {
+    pub fn set_opening(&mut self, destination: DestinationId, at: Option<Micros>) {
         if let Some(known) = self.opens.remove(&destination) {
             self.openings.remove(&(known, destination));
         }
@@ -255,7 +255,7 @@
 
     /// The messages of a destination, by class, of which one gains most by going now: about each bend of what a message
     /// loses by waiting. At `at` one that goes now is there, at `later` one that waits.
-    pub fn contenders(
+    pub fn candidates(
         &self,
         destination: DestinationId,
         (at, later): (Micros, Micros),
@@ -282,31 +282,32 @@
     }
 
     /// The messages that wait for a destination that nothing may be sent to.
-    pub fn of(&self, destination: DestinationId) -> Vec<MessageId> {
+    pub fn ids_of(&self, destination: DestinationId) -> Vec<MessageId> {
         self.spots.iter().filter(|(_, spot)| spot.destination == destination).map(|(&id, _)| id).collect()
     }
 
     /// The next messages from one on, so many at most.
-    pub fn from(&self, id: MessageId, most: usize) -> Vec<MessageId> {
+    pub fn ids_from(&self, id: MessageId, most: usize) -> Vec<MessageId> {
         self.spots.range(id..).take(most).map(|(&id, _)| id).collect()
     }
 
     /// What goes next, of those whose turn the gate says it is.
-    pub fn next(&self, gate: &mut Gate) -> Option<Ranked> {
-        let open = gate.turn(self.best.tenants());
-        self.best.highest(|tenant| gate.goes(tenant, open))
+    pub fn next_message(&self, gate: &mut FairScheduler) -> Option<Ranked> {
+        let open = gate.eligibility(self.ranking.tenants());
+        self.ranking.highest(|tenant| gate.is_eligible(tenant, open))
     }
 
     /// Tenants with a message that could go, but for their share of the slots.
-    pub fn blocked(&self, gate: &Gate) -> Vec<usize> {
-        self.best.tenants().filter(|&tenant| !gate.may(tenant)).collect()
+    pub fn blocked_tenants(&self, gate: &FairScheduler) -> Vec<usize> {
+        self.ranking.tenants().filter(|&tenant| !gate.has_share(tenant)).collect()
     }
 
     /// When something is due: a final answer; and, where there is room for a call, a send.
-    pub fn due(&self, gate: &Gate) -> (Option<Micros>, Option<Micros>) {
+    pub fn next_due(&self, gate: &FairScheduler) -> (Option<Micros>, Option<Micros>) {
         let stirred = || self.stirred.iter().any(|destination| self.ready.contains_key(destination));
         // Who waits for a slot of its own is called by the end of a call.
-        let now = (self.best.tenants().any(|tenant| gate.may(tenant)) || stirred()).then_some(Micros(0));
+        let now =
+            (self.ranking.tenants().any(|tenant| gate.has_share(tenant)) || stirred()).then_some(Micros(0));
         let openings = self.openings.first().map(|&(at, _)| at);
         let resting = self.resting.first().map(|&(at, _)| at);
         (self.ends.first().map(|&(at, _)| at), [now, openings, resting].into_iter().flatten().min())
@@ -317,7 +318,7 @@
     lines: &mut BTreeMap<DestinationId, BTreeMap<K, Line>>,
     key: K,
     id: MessageId,
-    spot: &Spot,
+    spot: &WaitingMessage,
 ) {
     let Some(keys) = lines.get_mut(&spot.destination) else { return };
     if keys.get_mut(&key).is_some_and(|line| line.take(id, spot)) {
--- a/src/waiting/tests.rs
+++ b/src/waiting/tests.rs
@@ -5,17 +5,17 @@
 const AIM: u64 = 2_000;
 const SPAN: u64 = 10_000;
 
-fn spot(aim: u64, ready_at: u64) -> Spot {
-    Spot {
+fn spot(aim: u64, ready_at: u64) -> WaitingMessage {
+    WaitingMessage {
         destination: HOME,
         class: 0,
         tenant: 0,
-        aim: Micros(aim),
+        target_time: Micros(aim),
         deadline: Micros(aim + SPAN),
         ends_at: Micros(aim + SPAN),
         ready_at: Micros(ready_at),
         ordered: false,
-        found: aim.is_multiple_of(3),
+        recovered: aim.is_multiple_of(3),
     }
 }
 
@@ -48,14 +48,14 @@
             worth(aim, at, halves, kept) - waits + 1e-3 * worth(aim, at, halves, kept)
         };
         let aims: Vec<u64> = aims.into_iter().collect();
-        let mut waiting = Waiting::default();
+        let mut waiting = WaitingMessages::default();
         for (id, &aim) in aims.iter().enumerate() {
-            waiting.put(MessageId(id as u32), spot(aim, 0), Micros(1));
+            waiting.insert(MessageId(id as u32), spot(aim, 0), Micros(1));
         }
         let aside: BTreeSet<MessageId> = set_aside.into_iter().map(MessageId).collect();
         let fits = |id: &usize| !aside.contains(&MessageId(*id as u32));
         let best = (0..aims.len()).filter(fits).map(|id| gain(aims[id])).fold(-1.0, f64::max);
-        let found = waiting.contenders(HOME, (Micros(at), Micros(later)), &aside);
+        let found = waiting.candidates(HOME, (Micros(at), Micros(later)), &aside);
         let most = found.iter().map(|(_, id)| gain(aims[id.0 as usize])).fold(-1.0, f64::max);
         prop_assert!((best - most).abs() < 1e-9, "{best} of all, {most} of the contenders");
     }
@@ -63,23 +63,23 @@
     /// Put, moved and taken in any order, each message stands in one place, and nothing is left behind.
     #[test]
     fn nothing_is_left_behind(deeds in proptest::collection::vec((0u32..20, 0u64..50, 0u64..50, 0u8..4), 1..120)) {
-        let mut waiting = Waiting::default();
-        let mut naive: BTreeMap<MessageId, (Spot, bool)> = BTreeMap::new();
+        let mut waiting = WaitingMessages::default();
+        let mut naive: BTreeMap<MessageId, (WaitingMessage, bool)> = BTreeMap::new();
         let mut now = 0;
         for (id, aim, rest, deed) in deeds {
             now += 1;
             let id = MessageId(id);
             match deed {
                 0 | 1 => {
-                    waiting.put(id, spot(aim, now + rest), Micros(now));
+                    waiting.insert(id, spot(aim, now + rest), Micros(now));
                     naive.insert(id, (spot(aim, now + rest), rest == 0));
                 }
                 2 => {
-                    waiting.take(id);
+                    waiting.remove(id);
                     naive.remove(&id);
                 }
                 _ => {
-                    waiting.wake(Micros(now));
+                    waiting.end_backoffs(Micros(now));
                     naive.values_mut().for_each(|(spot, ready)| *ready |= spot.ready_at <= Micros(now));
                 }
             }
@@ -89,14 +89,14 @@
             prop_assert_eq!(waiting.resting.len(), naive.len() - ready);
             prop_assert_eq!((waiting.ends.len(), waiting.spots.len()), (naive.len(), naive.len()));
             let first = naive.values().map(|(spot, _)| spot.ends_at).min();
-            prop_assert_eq!(waiting.due(&Gate::default()).0, first);
-            let found = naive.iter().filter(|(_, (spot, ready))| spot.found && *ready);
-            prop_assert_eq!(waiting.untried_of(HOME).count(), found.clone().count());
+            prop_assert_eq!(waiting.next_due(&FairScheduler::default()).0, first);
+            let found = naive.iter().filter(|(_, (spot, ready))| spot.recovered && *ready);
+            prop_assert_eq!(waiting.recovered_of(HOME).count(), found.clone().count());
             let least = found.map(|(id, (spot, _))| (spot.deadline, *id)).min();
-            prop_assert_eq!(waiting.untried(HOME, 0, &BTreeSet::new()), least.map(|(at, id)| (id, at)));
+            prop_assert_eq!(waiting.first_recovered(HOME, 0, &BTreeSet::new()), least.map(|(at, id)| (id, at)));
         }
         for id in naive.into_keys() {
-            waiting.take(id);
+            waiting.remove(id);
         }
         prop_assert!(waiting.ready.is_empty() && waiting.ends.is_empty());
         prop_assert!(waiting.found.is_empty());
@@ -104,7 +104,7 @@
 
     #[test]
     fn ranks_give_the_highest(sets in proptest::collection::vec((0u64..9, proptest::option::of(0u32..6)), 1..80)) {
-        let mut ranks = Ranks::default();
+        let mut ranks = Ranking::default();
         let mut naive = BTreeMap::new();
         for (now, (destination, figure)) in sets.into_iter().enumerate() {
             let id = MessageId(now as u32);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -15,10 +15,10 @@
 /// Messages of each loop iteration that were ended, with whether they were submitted in that iteration.
 fn ended_early(sender: &mut Sender, id: u32, class: usize, tenant: usize) -> Vec<u32> {
     let message =
-        HandedIn { destination: HOME, time_left: ms(12_000), class, key: None, tenant, again: false };
+        Submission { destination: HOME, time_left: ms(12_000), class, key: None, tenant, resubmitted: false };
     let actions = sender.hear(Event::Message(MessageId(id), message));
     let ended = actions.iter().filter_map(|action| match action {
-        Action::Refuse { id, .. } | Action::Fail(id) => Some(id.0),
+        Action::Reject { id, .. } | Action::Fail(id) => Some(id.0),
         _ => None,
     });
     ended.filter(|&ended| ended != id).collect()
@@ -28,7 +28,7 @@
 fn holding(settings: Settings) -> Sender {
     let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0)]);
     sender.message(0, SAFE, None);
-    sender.settle(0, 0, Outcome::Full { wait: Some(ms(2_500)) });
+    sender.settle(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
     sender
 }
 
@@ -36,7 +36,7 @@
 fn an_overload_of_greater_worth_ends_nothing_that_was_accepted() {
     let mut settings = settings();
     settings.classes[KEYED].worth = 4.0;
-    (settings.tenants, settings.senders) = (vec![0.5, 0.5], 1);
+    (settings.tenants, settings.forwarders) = (vec![0.5, 0.5], 1);
     let mut sender = holding(settings);
     let mut rejected = BTreeMap::new();
     for id in 1..200u32 {
@@ -66,7 +66,7 @@
     /// Of 42 that were accepted the first few are out, and all that is called for hangs; then the process starts anew.
     fn start(name: &str) -> Recovered {
         let folder = Folder::new(name);
-        let core = core(Settings { senders: 1, ..settings() });
+        let core = core(Settings { forwarders: 1, ..settings() });
         let mut engine = start_with(&core, &folder, 1 << 20, 0);
         let mut untried = Vec::new();
         for number in 0..42 {
@@ -89,7 +89,7 @@
         let mut inputs: Vec<Input> = new.into_iter().collect();
         let answered = if answer { self.out.pop_front() } else { None };
         if let Some(call) = answered {
-            let results = vec![(0, Outcome::Served, true)];
+            let results = vec![(0, AttemptOutcome::Delivered, true)];
             inputs.extend([Input::Written(call), Input::Answered { call, results, wait: None }]);
         }
         let outputs = self.engine.turn(ms(now), inputs);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,7 +16,14 @@
 }
 
 fn class(effect: Effect, in_order: bool) -> ClassSettings {
-    ClassSettings { effect, in_order, aim: ms(2_000), deadline: ms(12_000), worth: 1.0, late_share: 0.3 }
+    ClassSettings {
+        effect,
+        in_order,
+        target_time: ms(2_000),
+        deadline: ms(12_000),
+        worth: 1.0,
+        late_share: 0.3,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -28,33 +35,33 @@
             class(Effect::Unsafe, true),
         ],
         kinds: vec![
-            KindSettings { routes_apart: false, batch: 1 },
-            KindSettings { routes_apart: false, batch: 3 },
+            KindSettings { separate_routes: false, batch: 1 },
+            KindSettings { separate_routes: false, batch: 3 },
         ],
         weights: Weights::Nominal,
-        fade: Fade::Line,
+        worth_decay: WorthDecay::Linear,
         tenants: Vec::new(),
         isolation: Vec::new(),
         over_share_worth: 0.2,
-        senders: 2,
+        forwarders: 2,
         slots: 6,
-        max_open: 60,
+        max_messages: 60,
         max_attempts: 5,
-        cancels: true,
+        can_cancel: true,
         must_subscribe: false,
         max_retry_after: ms(2_000),
         connection_idle: ms(10_000),
         drain_grace: ms(700),
-        cold_from: 0.2,
-        cold_time: ms(9_000),
-        fall_multiple: 2.0,
-        fall_window: ms(2_500),
-        key_rest: ms(400),
+        recovery_start_share: 0.2,
+        recovery_time: ms(9_000),
+        overload_multiple: 2.0,
+        overload_window: ms(2_500),
+        key_backoff: ms(400),
     }
 }
 
-pub fn member(endpoint: u64, destination: DestinationId, weight: f64) -> Member {
-    Member {
+pub fn member(endpoint: u64, destination: DestinationId, weight: f64) -> EndpointRecord {
+    EndpointRecord {
         endpoint: EndpointId(endpoint),
         destination,
         zone: 0,
@@ -65,7 +72,7 @@
 }
 
 pub fn handed_in(id: u32, to: DestinationId, time_left: Micros, class: usize, key: Option<u64>) -> Event {
-    let message = HandedIn { destination: to, time_left, class, key, tenant: 0, again: false };
+    let message = Submission { destination: to, time_left, class, key, tenant: 0, resubmitted: false };
     Event::Message(MessageId(id), message)
 }
 
@@ -77,10 +84,10 @@
 }
 
 impl Sender {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Self {
+    pub fn new(settings: Settings, members: Vec<EndpointRecord>) -> Self {
         let mut sender =
             Sender { dispatcher: Dispatcher::new(settings, 11), now: ms(1_000), said: Vec::new() };
-        sender.hear(Event::Members(ListScope::Cached, members));
+        sender.hear(Event::EndpointRecords(ListScope::Cached, members));
         sender
     }
 
@@ -112,17 +119,23 @@
         self.hear(handed_in(id, to, ms(12_000), class, key))
     }
 
-    pub fn settle(&mut self, id: u32, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn settle(&mut self, id: u32, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
         self.settle_after(id, attempt, outcome, 100)
     }
 
-    pub fn settle_after(&mut self, id: u32, attempt: u32, outcome: Outcome, spent: u64) -> Vec<Action> {
-        self.hear(Event::Settled {
+    pub fn settle_after(
+        &mut self,
+        id: u32,
+        attempt: u32,
+        outcome: AttemptOutcome,
+        spent: u64,
+    ) -> Vec<Action> {
+        self.hear(Event::AttemptEnded {
             id: MessageId(id),
             attempt,
             outcome,
             spent: ms(spent),
-            closed: outcome == Outcome::Served,
+            closed: outcome == AttemptOutcome::Delivered,
         })
     }
 }
@@ -132,7 +145,7 @@
 }
 
 pub fn refused(actions: &[Action], message: u32) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if id.0 == message))
+    actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if id.0 == message))
 }
 
 pub fn failed(actions: &[Action], message: u32) -> bool {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -82,7 +82,10 @@
     let text =
         "limits: {slots: 9, held_mb: 0.5}\ndiscovery: 127.0.0.9:1\ntenants: [{name: ria, quota_per_s: 3}]";
     let model = model(text);
-    assert_eq!((model.core.settings.slots, model.core.settings.max_open), (9, base().settings.max_open));
+    assert_eq!(
+        (model.core.settings.slots, model.core.settings.max_messages),
+        (9, base().settings.max_messages)
+    );
     assert_eq!((model.core.held_bytes, model.discovery.port()), (Some(500_000), 1));
     assert_eq!((model.core.tenants, model.core.settings.tenants), (vec!["ria".to_owned()], vec![3.0]));
     assert_eq!(model.core.classes, base().classes);
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -44,7 +44,7 @@
     let outputs = engine.turn(ms(11_000), [Input::Written(call)]);
     assert_eq!(end_in(&outputs), Some(End::Undeliverable));
     assert!(outputs.iter().any(|out| matches!(out, Output::Abort(aborted) if *aborted == call)));
-    let late = Input::Answered { call, results: vec![(0, Outcome::Served, true)], wait: None };
+    let late = Input::Answered { call, results: vec![(0, AttemptOutcome::Delivered, true)], wait: None };
     assert!(engine.turn(ms(11_100), [late]).is_empty());
 }
 
@@ -256,7 +256,7 @@
     let other = named(&[("new", KEYED), ("payment", UNSAFE), ("note", SAFE)], &["sol", "mar", "ria", "onda"]);
     let engine = start_with(&other, &folder, 1 << 20, 2_000);
     assert_eq!(seen(&engine), before);
-    let paused = |name: &str| engine.tenant(engine.directory().tenants.find(name).unwrap()).1;
+    let paused = |name: &str| engine.tenant(engine.directory().tenants.active_index(name).unwrap()).1;
     assert_eq!(["sol", "mar", "ria", "onda"].map(paused), [false, false, true, false]);
     drop(engine);
     // A name that is gone keeps what is held for it, and takes no other's number.
@@ -275,7 +275,7 @@
     let reply = reply_in(&outputs);
     if reply == Some(Reply::TakenOn) {
         let call = call_in(&outputs).unwrap_or_else(|| next_call(engine));
-        let results = vec![(0, Outcome::Served, true)];
+        let results = vec![(0, AttemptOutcome::Delivered, true)];
         engine.turn(ms(now), [Input::Written(call), Input::Answered { call, results, wait: None }]);
     }
     reply
@@ -350,7 +350,7 @@
     let folder = Folder::new("shrink");
     let mut engine = start(&folder, 1 << 20, 1_000);
     // The one endpoint is told off, so that all of them are held.
-    let gone = Member { lifecycle: Lifecycle::Draining, ..member(1, HOME, 10.0) };
+    let gone = EndpointRecord { lifecycle: Lifecycle::Draining, ..member(1, HOME, 10.0) };
     engine.turn(ms(1_000), [Input::Entries(ListScope::Whole, vec![gone, member(2, HOME, 10.0)])]);
     let ids: Vec<String> = (0..50).map(|number| format!("m{number}")).collect();
     let outputs = engine.turn(ms(1_001), ids.iter().map(|id| offer(id, SAFE, 10)));
@@ -358,7 +358,7 @@
         outputs.iter().filter(|output| matches!(output, Output::Reply(.., Reply::TakenOn))).count()
     };
     assert_eq!(taken(&outputs), 50);
-    engine.configure(&with(|told| told.max_open = 5));
+    engine.configure(&with(|told| told.max_messages = 5));
     let mut ends = std::collections::BTreeMap::new();
     let (mut calls, mut fresh) = (Vec::new(), 0);
     let mut now = ms(1_010);
@@ -371,7 +371,8 @@
         for output in &outputs {
             match output {
                 Output::Call { call, items, .. } => {
-                    let served = (0..items.len()).map(|place| (place, Outcome::Served, true)).collect();
+                    let served =
+                        (0..items.len()).map(|place| (place, AttemptOutcome::Delivered, true)).collect();
                     let answered = Input::Answered { call: *call, results: served, wait: None };
                     calls.extend([Input::Written(*call), answered]);
                     items.iter().for_each(|item| *ends.entry(item.id.clone()).or_insert(0) += 1);
@@ -408,7 +409,8 @@
     // Served at once for a while, so that calls that take long are known to be overdue: those are cut for others.
     for number in 0..30u64 {
         let begun = calls(&engine.turn(ms(1_000 + number * 100), [offer(&format!("w{number}"), SAFE, 10)]));
-        let served = |call| Input::Answered { call, results: vec![(0, Outcome::Served, true)], wait: None };
+        let served =
+            |call| Input::Answered { call, results: vec![(0, AttemptOutcome::Delivered, true)], wait: None };
         let inputs = begun.into_iter().flat_map(|call| [Input::Written(call), served(call)]);
         engine.turn(ms(1_020 + number * 100), inputs.collect::<Vec<_>>());
     }
@@ -428,7 +430,8 @@
     }
     // One by one they end; the next begins once fewer than two are out.
     for (done, call) in out.into_iter().enumerate() {
-        let answered = Input::Answered { call, results: vec![(0, Outcome::Served, true)], wait: None };
+        let answered =
+            Input::Answered { call, results: vec![(0, AttemptOutcome::Delivered, true)], wait: None };
         let begun = calls(&engine.turn(ms(now), [Input::Written(call), answered])).len();
         assert!(begun == 0 || done >= 4, "{begun} begun after {done}");
     }
@@ -436,7 +439,9 @@
 
 #[test]
 fn a_class_and_a_tenant_that_go_while_a_payment_is_out_leave_it_its_one_end() {
-    for outcome in [Outcome::Served, Outcome::Reset, Outcome::Full { wait: None }] {
+    for outcome in
+        [AttemptOutcome::Delivered, AttemptOutcome::Reset, AttemptOutcome::Rejected { retry_after: None }]
+    {
         let folder = Folder::new(&format!("goes-{}", effect_name(outcome)));
         let core = named(&[("note", SAFE), ("payment", UNSAFE)], &["onda", "ria"]);
         let mut engine = start_with(&core, &folder, 1 << 20, 1_000);
@@ -444,7 +449,7 @@
         let call = call_in(&outputs).unwrap();
         engine.configure(&named(&[("note", SAFE)], &["onda"]));
         assert_eq!(reply_in(&engine.turn(ms(1_001), [offer_as(1, 1, "m2")])), Some(Reply::Unknown));
-        let results = vec![(0, outcome, outcome == Outcome::Served)];
+        let results = vec![(0, outcome, outcome == AttemptOutcome::Delivered)];
         let mut outputs =
             engine.turn(ms(1_100), [Input::Written(call), Input::Answered { call, results, wait: None }]);
         let mut sent_again = 0;
@@ -463,17 +468,17 @@
             }
         }
         match outcome {
-            Outcome::Served => assert_eq!((ends.len(), sent_again), (0, 0), "delivered"),
-            Outcome::Reset => assert_eq!((&ends[..], sent_again), (&[End::Undeliverable][..], 0)),
+            AttemptOutcome::Delivered => assert_eq!((ends.len(), sent_again), (0, 0), "delivered"),
+            AttemptOutcome::Reset => assert_eq!((&ends[..], sent_again), (&[End::Undeliverable][..], 0)),
             _ => assert!(sent_again >= 1, "it never ran: it goes on by its own class's rules"),
         }
     }
 }
 
-fn effect_name(outcome: Outcome) -> &'static str {
+fn effect_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Served => "served",
-        Outcome::Reset => "reset",
+        AttemptOutcome::Delivered => "served",
+        AttemptOutcome::Reset => "reset",
         _ => "full",
     }
 }
@@ -484,7 +489,11 @@
     let mut engine = start(&folder, 1 << 20, 1_000);
     let call = call_in(&engine.turn(ms(1_000), [offer("m1", SAFE, 10)])).unwrap();
     let wait = Some(ms(1_500));
-    let full = Input::Answered { call, results: vec![(0, Outcome::Full { wait }, false)], wait };
+    let full = Input::Answered {
+        call,
+        results: vec![(0, AttemptOutcome::Rejected { retry_after: wait }, false)],
+        wait,
+    };
     engine.turn(ms(1_010), [Input::Written(call), full]);
     engine.configure(&with(|told| (told.slots, told.max_attempts) = (50, 9)));
     let mut first = None;
@@ -497,7 +506,7 @@
     }
     assert!(first.unwrap() >= 2_510, "{first:?}");
     // Told off: two changes do not put it back, nor does the grace begin anew.
-    let drained = Member { lifecycle: Lifecycle::Draining, ..member(1, HOME, 10.0) };
+    let drained = EndpointRecord { lifecycle: Lifecycle::Draining, ..member(1, HOME, 10.0) };
     engine.turn(ms(4_000), [Input::Entries(ListScope::Changes, vec![drained])]);
     engine.configure(&with(|told| told.slots = 40));
     for step in 0..100u64 {
@@ -515,7 +524,11 @@
         .map(|id| call_in(&engine.turn(ms(1_000), [offer(&format!("m{id}"), UNSAFE, 10)])).unwrap())
         .collect();
     let wait = Some(ms(1_500));
-    let full = |call| Input::Answered { call, results: vec![(0, Outcome::Full { wait }, false)], wait };
+    let full = |call| Input::Answered {
+        call,
+        results: vec![(0, AttemptOutcome::Rejected { retry_after: wait }, false)],
+        wait,
+    };
     // The third was written in the same turn: it may have run, whatever the order in which that is heard.
     let outputs =
         engine.turn(ms(1_010), [Input::Written(calls[0]), full(calls[0]), Input::Written(calls[2])]);
@@ -571,7 +584,7 @@
     let call = call_in(&engine.turn(ms(1_000), [offer("k1", KEYED, 10)])).unwrap();
     engine.turn(ms(1_001), [Input::Written(call)]);
     drop(engine);
-    let list = vec![Member { zone: 0, ..member(2, HOME, 10.0) }];
+    let list = vec![EndpointRecord { zone: 0, ..member(2, HOME, 10.0) }];
     let mut engine = Engine::start(&core, 5, (&folder.0, 1 << 20), ms(1_500), list, Resume::AtOnce);
     let mut ends = Vec::new();
     for now in (1_500..12_000).step_by(20) {
@@ -606,7 +619,7 @@
         let news = match whole {
             false => Input::Entries(
                 ListScope::Changes,
-                vec![Member { endpoint: drained, lifecycle: Lifecycle::Draining, ..stays.clone() }],
+                vec![EndpointRecord { endpoint: drained, lifecycle: Lifecycle::Draining, ..stays.clone() }],
             ),
             true => Input::Entries(ListScope::Whole, vec![stays]),
         };
@@ -638,7 +651,8 @@
             let mut engine = start(&folder, 1 << 20, 1_000);
             let call = call_in(&engine.turn(ms(1_000), [offer("m1", class, 10)])).unwrap();
             engine.turn(ms(1_001), [Input::Written(call)]);
-            let served = Input::Answered { call, results: vec![(0, Outcome::Served, true)], wait: None };
+            let served =
+                Input::Answered { call, results: vec![(0, AttemptOutcome::Delivered, true)], wait: None };
             let outputs = engine.turn(ms(answered_at), [served]);
             let told = end_in(&outputs);
             assert_eq!(told, (!in_time).then_some(End::Undeliverable), "at {answered_at} of {deadline}");
@@ -664,7 +678,8 @@
         let Input::Offer(offer) = offer(&id, UNSAFE, 10) else { unreachable!() };
         let short = Input::Offer(Offer { time_left: ms(80), ..offer });
         let call = call_in(&engine.turn(ms(1_000), [short])).unwrap();
-        let served = Input::Answered { call, results: vec![(0, Outcome::Served, true)], wait: None };
+        let served =
+            Input::Answered { call, results: vec![(0, AttemptOutcome::Delivered, true)], wait: None };
         let outputs = engine.turn(ms(answered_at), [Input::Written(call), served]);
         assert_eq!(end_in(&outputs).is_none(), in_time, "at {answered_at}: {outputs:?}");
     }
@@ -676,7 +691,8 @@
 fn a_call_of_several_ends_for_all_with_the_first_message_whose_time_is_up() {
     let folder = Folder::new("one-fate");
     let core = core(Settings { weights: Weights::Absent, ..settings() });
-    let (place, list) = ((folder.0.as_path(), 1 << 20), vec![Member { kind: 1, ..member(1, HOME, 0.0) }]);
+    let (place, list) =
+        ((folder.0.as_path(), 1 << 20), vec![EndpointRecord { kind: 1, ..member(1, HOME, 0.0) }]);
     let mut engine = Engine::start(&core, 5, place, ms(1_000), list, Resume::AtOnce);
     let Input::Offer(short) = offer("short", SAFE, 10) else { unreachable!() };
     let short = Input::Offer(Offer { time_left: ms(3_000), ..short });
@@ -690,7 +706,7 @@
     engine.turn(ms(1_001), [Input::Written(call)]);
     let outputs = engine.turn(ms(4_000), []);
     assert!(outputs.iter().any(|out| matches!(out, Output::Abort(aborted) if *aborted == call)));
-    let results = vec![(0, Outcome::Served, true), (1, Outcome::Served, true)];
+    let results = vec![(0, AttemptOutcome::Delivered, true), (1, AttemptOutcome::Delivered, true)];
     let late = engine.turn(ms(4_010), [Input::Answered { call, results, wait: None }]);
     let long = engine.flows().find(|flow| &flow.id[..] == b"long").expect("it is still owed an end");
     assert!(!long.out && long.end.is_none() && end_in(&late).is_none(), "nothing of it is out: {late:?}");
@@ -703,7 +719,7 @@
     let folder = Folder::new("late-batch");
     let core = core(Settings { weights: Weights::Absent, ..settings() });
     let place = (folder.0.as_path(), 1 << 20);
-    let list = vec![Member { kind: 1, ..member(1, HOME, 0.0) }];
+    let list = vec![EndpointRecord { kind: 1, ..member(1, HOME, 0.0) }];
     let mut engine = Engine::start(&core, 5, place, ms(1_000), list, Resume::AtOnce);
     let timed = |id: &str, class, left| {
         let Input::Offer(offer) = offer(id, class, 10) else { unreachable!() };
@@ -749,7 +765,7 @@
             engine.turn(ms(1_001), (id != "held").then_some(Input::Written(call)));
         }
         // The last one was turned away, and waits when the process dies.
-        let full = Outcome::Full { wait: Some(ms(9_000)) };
+        let full = AttemptOutcome::Rejected { retry_after: Some(ms(9_000)) };
         let results = vec![(0, full, false)];
         engine.turn(ms(1_010), [Input::Answered { call: out[3], results, wait: Some(ms(9_000)) }]);
         drop(engine);
@@ -767,7 +783,8 @@
                             keyed_again += u32::from(&item.id[..] == b"keyed");
                             ends.entry(item.id.to_vec()).or_default().push(End::Delivered);
                         }
-                        let results = (0..items.len()).map(|place| (place, Outcome::Served, true)).collect();
+                        let results =
+                            (0..items.len()).map(|place| (place, AttemptOutcome::Delivered, true)).collect();
                         answers.extend([Input::Written(call), Input::Answered { call, results, wait: None }]);
                     }
                     Output::Tell { flow, id, end, .. } => {
@@ -793,7 +810,7 @@
     let folder = Folder::new("paced");
     let settings = Settings { slots: 100, weights: Weights::Absent, ..settings() };
     let core = core(settings);
-    let begin = |now, list: &[Member], resume| {
+    let begin = |now, list: &[EndpointRecord], resume| {
         Engine::start(&core, 5, (&folder.0, 1 << 20), ms(now), list.to_vec(), resume)
     };
     let list = [member(1, HOME, 0.0)];
@@ -833,7 +850,8 @@
         times.extend(came.iter().filter(|id| id.starts_with("held")).map(|_| now));
         for output in outputs {
             if let Output::Call { call, items, .. } = output {
-                let results = (0..items.len()).map(|place| (place, Outcome::Served, true)).collect();
+                let results =
+                    (0..items.len()).map(|place| (place, AttemptOutcome::Delivered, true)).collect();
                 inputs.extend([Input::Written(call), Input::Answered { call, results, wait: None }]);
             }
         }
@@ -866,7 +884,7 @@
     let (mut now, mut inputs, mut counts) = (1_500, Vec::new(), [0; 3]);
     while now < 6_500 {
         for call in out.drain(..) {
-            let results = vec![(0, Outcome::Served, true)];
+            let results = vec![(0, AttemptOutcome::Delivered, true)];
             inputs.extend(Report::new(0.9, 20.0).map(|report| Input::Report(EndpointId(1), report)));
             inputs.extend([Input::Written(call), Input::Answered { call, results, wait: None }]);
         }
@@ -929,7 +947,8 @@
             match output {
                 Output::Call { call, items, .. } => {
                     called.extend(items.iter().map(|item| String::from_utf8_lossy(&item.id).into_owned()));
-                    let results = (0..items.len()).map(|place| (place, Outcome::Served, true)).collect();
+                    let results =
+                        (0..items.len()).map(|place| (place, AttemptOutcome::Delivered, true)).collect();
                     inputs.extend([Input::Written(call), Input::Answered { call, results, wait: None }]);
                 }
                 Output::Tell { id, end, .. } => told.push((String::from_utf8_lossy(&id).into_owned(), end)),
