--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -12,14 +12,14 @@
     settings.slots = 1;
     let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0), member(2, other, 10.0)]);
     sender.message(1, SAFE, None);
-    sender.settle(1, 0, Outcome::Served);
+    sender.settle(1, 0, AttemptOutcome::Delivered);
     sender.message(2, UNSAFE, None);
     let mut said = sender.message_for(3, SAFE, None, other);
     said.extend(sender.wait(1_000));
     assert!(!said.iter().any(|a| matches!(a, Action::Cancel { .. })), "not before the aim");
     said = sender.wait(2_000);
     assert!(said.contains(&Action::Cancel { id: MessageId(2), attempt: 0 }));
-    said = [sender.settle(2, 0, Outcome::Cancelled), sender.wait(50)].concat();
+    said = [sender.settle(2, 0, AttemptOutcome::Cancelled), sender.wait(50)].concat();
     assert!(failed(&said, 2) && sends(&said) == [3]);
 }
 
@@ -32,7 +32,7 @@
     settings.slots = 1;
     let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0), member(2, other, 10.0)]);
     sender.message(1, SAFE, None);
-    sender.settle_after(1, 0, Outcome::Served, 1);
+    sender.settle_after(1, 0, AttemptOutcome::Delivered, 1);
     sender.message(2, SAFE, None);
     let mut said = sender.message_for(3, SAFE, None, other);
     said.extend(sender.wait(300));
@@ -54,7 +54,7 @@
     for id in 10..40 {
         assert_eq!(sends(&sender.message(id, SAFE, None)), [id], "sent at once");
         sender.now = sender.now.plus(ms(10));
-        sender.settle_after(id, 0, Outcome::Served, 1);
+        sender.settle_after(id, 0, AttemptOutcome::Delivered, 1);
     }
     sender.message(2, SAFE, None);
     let mut said = sender.message_for(3, SAFE, None, other);
@@ -80,7 +80,7 @@
         sender.settle_after(
             id,
             0,
-            if close.is_some() || id == 0 { Outcome::Served } else { Outcome::Reset },
+            if close.is_some() || id == 0 { AttemptOutcome::Delivered } else { AttemptOutcome::Reset },
             30,
         );
         sender.hear(Event::Withdrawn(MessageId(id)));
@@ -95,7 +95,12 @@
     let mut sender = Sender::simple();
     for id in 0..4 {
         assert_eq!(sends(&sender.message(id, UNSAFE, None)), [id], "sent at once");
-        sender.settle_after(id, 0, if id == 0 { Outcome::Served } else { Outcome::Reset }, 30);
+        sender.settle_after(
+            id,
+            0,
+            if id == 0 { AttemptOutcome::Delivered } else { AttemptOutcome::Reset },
+            30,
+        );
         sender.wait(1_500);
     }
 }
@@ -105,7 +110,7 @@
     for weight in [0.0, f64::NAN, f64::INFINITY, -3.0, 1e300] {
         let mut sender = Sender::new(settings(), vec![member(1, HOME, weight)]);
         let mut said = sender.message(1, SAFE, None);
-        said.extend(sender.settle_after(1, 0, Outcome::Full { wait: None }, 0));
+        said.extend(sender.settle_after(1, 0, AttemptOutcome::Rejected { retry_after: None }, 0));
         said.extend(sender.wait(9_000));
         assert!(sends(&said).len() > 1, "weight {weight}: {said:?}");
     }
@@ -114,7 +119,7 @@
 #[test]
 fn outcomes_and_withdrawals_of_unknown_messages_are_ignored() {
     let mut sender = Sender::simple();
-    assert!(sender.settle(99, 3, Outcome::TimedOut).is_empty());
+    assert!(sender.settle(99, 3, AttemptOutcome::TimedOut).is_empty());
     assert!(sender.hear(Event::Withdrawn(MessageId(99))).is_empty());
     assert_eq!(sends(&sender.message(1, SAFE, None)), [1]);
 }
@@ -129,10 +134,10 @@
 /// One of sixty senders to a partner that takes four calls a second.
 fn crowd(seed: u64) -> Sender {
     let mut settings = settings();
-    settings.senders = 60;
+    settings.forwarders = 60;
     let mut sender = Sender::new(settings.clone(), Vec::new());
     sender.dispatcher = Dispatcher::new(settings, seed);
-    sender.hear(Event::Members(ListScope::Cached, vec![member(1, HOME, 4.0)]));
+    sender.hear(Event::EndpointRecords(ListScope::Cached, vec![member(1, HOME, 4.0)]));
     sender
 }
 
@@ -143,7 +148,7 @@
     for seed in 0..60u32 {
         let mut sender = crowd(u64::from(seed));
         sender.message(1, SAFE, None);
-        sender.settle_after(1, 0, Outcome::ConnectFailed, 50);
+        sender.settle_after(1, 0, AttemptOutcome::ConnectFailed, 50);
         let said = sends(&sender.wait(2_500)).len();
         again += said;
         senders_again += usize::from(said > 0);
@@ -163,7 +168,7 @@
         if !sends(&said).is_empty() {
             times.push(sender.now);
             sender.said.clear();
-            let said = sender.settle_after(1, attempts, Outcome::Full { wait: None }, 40);
+            let said = sender.settle_after(1, attempts, AttemptOutcome::Rejected { retry_after: None }, 40);
             assert!(sends(&said).is_empty());
             sender.said.clear();
             attempts += 1;
@@ -177,7 +182,7 @@
 fn idle_connections_that_die_in_silence_are_closed_before_use() {
     let mut settings = settings();
     settings.slots = 4;
-    let partners: Vec<Member> = (1..=6).map(|n| member(n, DestinationId(n), 20.0)).collect();
+    let partners: Vec<EndpointRecord> = (1..=6).map(|n| member(n, DestinationId(n), 20.0)).collect();
     let mut sender = Sender::new(settings, partners);
     let (mut id, mut closed, mut dead) = (0, 0, 0);
     for round in 0..12 {
@@ -187,11 +192,11 @@
             closed += usize::from(fresh && round > 0);
             if sends(&said) == [id] && !fresh {
                 dead += 1;
-                sender.settle_after(id, 0, Outcome::TimedOut, 900);
+                sender.settle_after(id, 0, AttemptOutcome::TimedOut, 900);
                 sender.wait(3_000);
-                sender.settle_after(id, 1, Outcome::Served, 60);
+                sender.settle_after(id, 1, AttemptOutcome::Delivered, 60);
             } else {
-                sender.settle_after(id, 0, Outcome::Served, 60);
+                sender.settle_after(id, 0, AttemptOutcome::Delivered, 60);
             }
             sender.hear(Event::Withdrawn(MessageId(id)));
             id += 1;
@@ -206,14 +211,14 @@
 fn silence_on_new_connections_too_is_an_outage() {
     let mut sender = Sender::simple();
     sender.message(1, SAFE, None);
-    sender.settle(1, 0, Outcome::Served);
+    sender.settle(1, 0, AttemptOutcome::Delivered);
     sender.wait(1_500);
     let mut said = sender.message(2, SAFE, None);
     for attempt in 0..3 {
         while !sends(&said).contains(&2) {
             said = sender.wait(10);
         }
-        said = sender.settle_after(2, attempt, Outcome::TimedOut, 900);
+        said = sender.settle_after(2, attempt, AttemptOutcome::TimedOut, 900);
         if said.iter().any(|a| matches!(a, Action::Log(line) if line.contains("destination out"))) {
             return;
         }
@@ -229,18 +234,19 @@
     for id in 0..4_000u32 {
         let (now, old) = (u64::from(id / 20), u64::from(id / 20).saturating_sub(1));
         if id % 20 == 0 {
-            let gone = Member { lifecycle: Lifecycle::Gone, ..member(100 + old, DestinationId(old), 9.0) };
+            let gone =
+                EndpointRecord { lifecycle: Lifecycle::Gone, ..member(100 + old, DestinationId(old), 9.0) };
             let new = member(100 + now, DestinationId(now), 9.0);
-            sender.hear(Event::Members(ListScope::Changes, vec![gone, new]));
+            sender.hear(Event::EndpointRecords(ListScope::Changes, vec![gone, new]));
         }
-        let outcome = if id % 7 == 0 { Outcome::Reset } else { Outcome::Served };
+        let outcome = if id % 7 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Delivered };
         sender.message_for(id, ORDERED, Some(u64::from(id) + 1), DestinationId(now));
         sender.settle_after(id, 0, outcome, 40);
         sender.wait(100);
         most = most.max(sender.dispatcher.remembered());
     }
     assert!(most < 1_200, "{most} remembered of 4000 messages, 4000 keys, 200 endpoints");
-    assert!(sender.settle(1, 0, Outcome::TimedOut).is_empty(), "a late outcome does no harm");
+    assert!(sender.settle(1, 0, AttemptOutcome::TimedOut).is_empty(), "a late outcome does no harm");
 }
 
 /// Places run short while one tenant asks for far more than its share: what goes beyond it is rejected, all that the other
@@ -248,17 +254,18 @@
 #[test]
 fn a_tenant_beyond_its_share_is_refused_first() {
     let mut settings = settings();
-    (settings.tenants, settings.senders, settings.max_open) = (vec![0.5, 0.5], 1, 40);
+    (settings.tenants, settings.forwarders, settings.max_messages) = (vec![0.5, 0.5], 1, 40);
     let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0)]);
     sender.message(0, SAFE, None);
-    sender.settle(0, 0, Outcome::Full { wait: Some(ms(2_500)) });
+    sender.settle(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
     let mut refused_of = [0, 0];
     for submitted in 1..60u32 {
         let tenant = usize::from(submitted % 6 == 0);
         let (time_left, class) = (ms(12_000), SAFE);
-        let message = HandedIn { destination: HOME, time_left, class, key: None, tenant, again: false };
+        let message =
+            Submission { destination: HOME, time_left, class, key: None, tenant, resubmitted: false };
         for action in sender.hear(Event::Message(MessageId(submitted), message)) {
-            if let Action::Refuse { id, .. } = action {
+            if let Action::Reject { id, .. } = action {
                 assert_eq!(id.0, submitted, "ended to make room");
                 refused_of[tenant] += 1;
             }
@@ -275,12 +282,12 @@
     sender.message(1, SAFE, None);
     let hand_in = |time_left, again| {
         let (destination, class) = (HOME, SAFE);
-        HandedIn { destination, time_left, class, key: None, tenant: 0, again }
+        Submission { destination, time_left, class, key: None, tenant: 0, resubmitted: again }
     };
     sender.hear(Event::Message(MessageId(2), hand_in(ms(9_000), true)));
     sender.hear(Event::Message(MessageId(3), hand_in(ms(1_500), false)));
     sender.wait(1_200);
-    let said = [sender.settle(1, 0, Outcome::Served), sender.wait(100)].concat();
+    let said = [sender.settle(1, 0, AttemptOutcome::Delivered), sender.wait(100)].concat();
     assert_eq!(sends(&said).first(), Some(&3), "the one that comes again is late");
 }
 
@@ -292,23 +299,23 @@
     let mut endpoints = vec![member(1, HOME, 50.0), member(2, other, 50.0)];
     endpoints[1].kind = 1;
     let mut crowded = settings();
-    crowded.senders = 20;
+    crowded.forwarders = 20;
     let mut sender = Sender::new(crowded, endpoints);
     let closes = |said: &[Action], id| said.contains(&Action::CloseIdle(EndpointId(id)));
     sender.message(1, SAFE, None);
-    assert!(!closes(&sender.settle(1, 0, Outcome::Served), 1), "kept while nothing fails");
+    assert!(!closes(&sender.settle(1, 0, AttemptOutcome::Delivered), 1), "kept while nothing fails");
     sender.wait(500);
     sender.message(2, SAFE, None);
-    sender.settle(2, 0, Outcome::ConnectFailed);
+    sender.settle(2, 0, AttemptOutcome::ConnectFailed);
     while sends(&sender.said).is_empty() {
         sender.wait(10);
     }
-    assert!(closes(&sender.settle(2, 1, Outcome::Served), 1), "given back once new ones fail");
+    assert!(closes(&sender.settle(2, 1, AttemptOutcome::Delivered), 1), "given back once new ones fail");
     sender.message_for(3, SAFE, None, other);
-    assert!(!closes(&sender.settle(3, 0, Outcome::Served), 2), "another kind is kept");
+    assert!(!closes(&sender.settle(3, 0, AttemptOutcome::Delivered), 2), "another kind is kept");
     sender.wait(120_000);
     sender.message(4, SAFE, None);
-    assert!(!closes(&sender.settle(4, 0, Outcome::Served), 1), "kept again after a while");
+    assert!(!closes(&sender.settle(4, 0, AttemptOutcome::Delivered), 1), "kept again after a while");
 }
 
 /// Found on the days of the large fleet: half of the partners had their tables full of a hundred senders' idle
@@ -316,13 +323,15 @@
 #[test]
 fn a_full_table_gives_connections_back_and_leaves_the_pace_and_the_health_alone() {
     let mut crowded = settings();
-    (crowded.senders, crowded.weights) = (20, Weights::Absent);
+    (crowded.forwarders, crowded.weights) = (20, Weights::Absent);
     let mut sender = Sender::new(crowded, vec![member(1, HOME, 1.0)]);
     for id in 0..8 {
         sender.message(id, SAFE, None);
-        let said = [sender.settle_after(id, 0, Outcome::TableFull, 5), sender.wait(1_000)].concat();
+        let said =
+            [sender.settle_after(id, 0, AttemptOutcome::ConnectionLimitReached, 5), sender.wait(1_000)]
+                .concat();
         assert_eq!(sends(&said), [id], "it goes again");
-        let said = sender.settle(id, 1, Outcome::Served);
+        let said = sender.settle(id, 1, AttemptOutcome::Delivered);
         assert!(said.contains(&Action::CloseIdle(EndpointId(1))), "message {id}: the connection is kept");
         assert!(!said.iter().any(|one| matches!(one, Action::Log(_))), "{said:?}");
     }
@@ -336,10 +345,10 @@
 fn a_large_fleet_gives_connections_back_before_any_is_turned_away() {
     for (senders, given_back) in [(3, false), (100, true)] {
         let mut fleet = settings();
-        fleet.senders = senders;
+        fleet.forwarders = senders;
         let mut sender = Sender::new(fleet, vec![member(1, HOME, 10.0)]);
         sender.message(1, SAFE, None);
-        let said = sender.settle(1, 0, Outcome::Served);
+        let said = sender.settle(1, 0, AttemptOutcome::Delivered);
         assert_eq!(said.contains(&Action::CloseIdle(EndpointId(1))), given_back, "{senders} senders");
     }
 }
@@ -356,7 +365,7 @@
             assert!(sends(&said).contains(&1), "attempt {attempt}");
             let report = cedarwharf::report::Report::new(left, 1_000.0).unwrap();
             sender.hear(Event::Report(EndpointId(1), report));
-            said = sender.settle(1, attempt, Outcome::Full { wait: None });
+            said = sender.settle(1, attempt, AttemptOutcome::Rejected { retry_after: None });
             while sends(&said).is_empty() && sender.now < ms(300_000) {
                 said.extend(sender.wait(100));
             }
@@ -375,7 +384,10 @@
     for seed in 0..20 {
         let mut sender = Sender::new(settings(), Vec::new());
         sender.dispatcher = Dispatcher::new(settings(), seed);
-        sender.hear(Event::Members(ListScope::Cached, vec![member(1, HOME, 9.0), member(2, HOME, 9.0)]));
+        sender.hear(Event::EndpointRecords(
+            ListScope::Cached,
+            vec![member(1, HOME, 9.0), member(2, HOME, 9.0)],
+        ));
         let said = sender.message(1, SAFE, None);
         first.extend(said.iter().filter_map(|a| match a {
             Action::Send { endpoint, .. } => Some(endpoint.0),
@@ -390,7 +402,7 @@
 fn what_loses_most_by_waiting_goes_first() {
     let mut settings = settings();
     settings.slots = 1;
-    (settings.classes[SAFE].aim, settings.classes[SAFE].deadline) = (ms(1_500), ms(5_000));
+    (settings.classes[SAFE].target_time, settings.classes[SAFE].deadline) = (ms(1_500), ms(5_000));
     (settings.classes[SAFE].late_share, settings.classes[UNSAFE].worth) = (0.1, 4.0);
     let (slow, quick) = (DestinationId(8), DestinationId(9));
     let mut sender =
@@ -399,20 +411,20 @@
         let (to, spent) = [(HOME, 100), (quick, 50), (slow, 400)][if id == 10 { 2 } else { id as usize % 2 }];
         sender.message_for(id, UNSAFE, None, to);
         sender.wait(spent);
-        sender.settle_after(id, 0, Outcome::Served, spent);
+        sender.settle_after(id, 0, AttemptOutcome::Delivered, spent);
     }
     sender.message(4, UNSAFE, None);
     sender.message(5, UNSAFE, None);
     sender.hear(handed_in(6, HOME, ms(5_000), SAFE, None));
     sender.wait(1_200);
-    let said = [sender.settle_after(4, 0, Outcome::Served, 1_200), sender.wait(50)].concat();
+    let said = [sender.settle_after(4, 0, AttemptOutcome::Delivered, 1_200), sender.wait(50)].concat();
     assert_eq!(sends(&said), [6], "it fades fast, though it is worth a quarter");
     sender.message_for(7, UNSAFE, None, slow);
     sender.message_for(8, UNSAFE, None, quick);
     sender.wait(2_500);
     let mut order = Vec::new();
     for id in [6, 8, 5] {
-        let said = [sender.settle_after(id, 0, Outcome::Served, 100), sender.wait(50)].concat();
+        let said = [sender.settle_after(id, 0, AttemptOutcome::Delivered, 100), sender.wait(50)].concat();
         order.extend(sends(&said));
     }
     assert_eq!(order.last(), Some(&7), "the slow partner comes last: {order:?}");
@@ -426,14 +438,18 @@
     for id in 0..4 {
         assert_eq!(sends(&sender.message(id, UNSAFE, None)), [id], "sent at once");
         let spoilt = id % 4 != 3;
-        let said = sender.settle(id, 0, if spoilt { Outcome::Spoilt } else { Outcome::Served });
+        let said = sender.settle(
+            id,
+            0,
+            if spoilt { AttemptOutcome::MalformedAnswer } else { AttemptOutcome::Delivered },
+        );
         assert_eq!(failed(&said, id), spoilt, "it may have run: {said:?}");
     }
     let mut sender = Sender::simple();
     let mut out = false;
     for id in 0..10 {
         sender.message(id, UNSAFE, None);
-        let said = sender.settle(id, 0, Outcome::Spoilt);
+        let said = sender.settle(id, 0, AttemptOutcome::MalformedAnswer);
         out |= said.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out")));
     }
     assert!(out, "ten in a row and never out");
@@ -443,20 +459,22 @@
 /// and for a cold time of 13 s it then got a fifth of its calls.
 #[test]
 fn a_receiver_that_was_only_slow_is_not_taken_for_cold() {
-    for (outcome, pause, cold) in
-        [(Outcome::Cancelled, 200, false), (Outcome::Cancelled, 3_000, true), (Outcome::Error, 200, true)]
-    {
+    for (outcome, pause, cold) in [
+        (AttemptOutcome::Cancelled, 200, false),
+        (AttemptOutcome::Cancelled, 3_000, true),
+        (AttemptOutcome::Error, 200, true),
+    ] {
         let mut sender = Sender::new(settings(), vec![member(1, HOME, 40.0)]);
         for id in 0..5 {
             sender.message(id, SAFE, None);
         }
-        sender.settle(0, 0, Outcome::Served);
+        sender.settle(0, 0, AttemptOutcome::Delivered);
         sender.settle(1, 0, outcome);
         let said = sender.settle(2, 0, outcome);
         assert!(said.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out"))));
         sender.now = sender.now.plus(ms(pause));
-        sender.settle(3, 0, Outcome::Served);
-        sender.settle(4, 0, Outcome::Served);
+        sender.settle(3, 0, AttemptOutcome::Delivered);
+        sender.settle(4, 0, AttemptOutcome::Delivered);
         let mut at_once = 0;
         for id in 10..15 {
             at_once += sends(&sender.message(id, SAFE, None)).len();
@@ -473,13 +491,13 @@
     for id in 0..6 {
         sender.message(id, SAFE, None);
     }
-    sender.settle(0, 0, Outcome::Served);
-    sender.settle(1, 0, Outcome::Reset);
-    let said = sender.settle(2, 0, Outcome::ConnectFailed);
+    sender.settle(0, 0, AttemptOutcome::Delivered);
+    sender.settle(1, 0, AttemptOutcome::Reset);
+    let said = sender.settle(2, 0, AttemptOutcome::ConnectFailed);
     assert!(!said.iter().any(|a| matches!(a, Action::Log(_))), "two in a row are chance: {said:?}");
-    let said = sender.settle(3, 0, Outcome::Reset);
+    let said = sender.settle(3, 0, AttemptOutcome::Reset);
     assert!(said.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out"))));
-    sender.settle(4, 0, Outcome::Served);
+    sender.settle(4, 0, AttemptOutcome::Delivered);
     let at_once: usize = (10..14).map(|id| sends(&sender.message(id, SAFE, None)).len()).sum();
     assert_eq!(at_once, 4, "served again at once: not cold");
 }
@@ -489,10 +507,10 @@
 fn a_call_cut_short_by_its_message_says_nothing_of_the_endpoint() {
     let mut sender = Sender::simple();
     sender.message(0, SAFE, None);
-    sender.settle_after(0, 0, Outcome::Served, 300);
+    sender.settle_after(0, 0, AttemptOutcome::Delivered, 300);
     for (id, spent, out) in [(1, 100, false), (2, 100, false), (3, 900, false), (4, 900, true)] {
         sender.hear(handed_in(id, HOME, ms(spent + 50), SAFE, None));
-        let said = sender.settle_after(id, 0, Outcome::TimedOut, spent);
+        let said = sender.settle_after(id, 0, AttemptOutcome::TimedOut, spent);
         let log = said.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out")));
         assert_eq!(log, out, "call {id} after {spent} ms: {said:?}");
     }
@@ -509,7 +527,7 @@
     // Ten a second for ten seconds, all served; then errors until it is out, and one served call.
     for id in 0..100 {
         sender.message(id, SAFE, None);
-        sender.settle(id, 0, if id < 98 { Outcome::Served } else { Outcome::Error });
+        sender.settle(id, 0, if id < 98 { AttemptOutcome::Delivered } else { AttemptOutcome::Error });
         sender.wait(100);
     }
     // Asked: some 7 a second, as the count fades. Cold: a fifth of it to begin with, and twice that may go.
@@ -519,7 +537,7 @@
         let mut said = sender.message(id, UNSAFE, None);
         said.extend(sender.wait(100));
         for id in sends(&said) {
-            sender.settle(id, u32::from(id == 98 || id == 99), Outcome::Served);
+            sender.settle(id, u32::from(id == 98 || id == 99), AttemptOutcome::Delivered);
             sent += usize::from(came_back.is_some());
             came_back.get_or_insert(sender.now);
         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -50,13 +50,13 @@
 fn play(scene: &Scene, seconds: u64) -> Sums {
     let mut random = fastrand::Rng::with_seed(scene.seed);
     let mut told = settings();
-    (told.senders, told.weights) = (scene.told.unwrap_or(scene.senders), Weights::Absent);
+    (told.forwarders, told.weights) = (scene.told.unwrap_or(scene.senders), Weights::Absent);
     told.max_retry_after = ms(3_000);
     let one = |seed| {
         let mut dispatcher = Dispatcher::new(told.clone(), seed);
         dispatcher.handle(
             ms(1),
-            [Event::Members(ListScope::Cached, vec![member(1, HOME, 1.0)])],
+            [Event::EndpointRecords(ListScope::Cached, vec![member(1, HOME, 1.0)])],
             &mut vec![],
         );
         dispatcher
@@ -99,9 +99,9 @@
                 sums.by_second[second as usize][usize::from(!served)] += 1;
                 let wait = scene.wait.map(ms);
                 let outcome = match (served, down) {
-                    (true, _) => Outcome::Served,
-                    (_, true) => Outcome::ConnectFailed,
-                    _ => Outcome::Full { wait },
+                    (true, _) => AttemptOutcome::Delivered,
+                    (_, true) => AttemptOutcome::ConnectFailed,
+                    _ => AttemptOutcome::Rejected { retry_after: wait },
                 };
                 if served {
                     (sums.delivered, sums.each[at].0) = (sums.delivered + 1.0, sums.each[at].0 + 1.0);
@@ -109,7 +109,7 @@
                     sums.refused += 1.0;
                 }
                 let spent = SERVICE + random.u64(0..5) * STEP;
-                let settled = Event::Settled {
+                let settled = Event::AttemptEnded {
                     id: MessageId(id),
                     attempt: *attempt - 1,
                     outcome,
@@ -189,11 +189,11 @@
         let span = 3;
         for from in 15..30 {
             let capacity = |at: usize| {
-                let warm = (at as f64 - 14.5) / (rules.cold_time.0 as f64 / 1e6);
-                50.0 * (rules.cold_from + (1.0 - rules.cold_from) * warm.min(1.0))
+                let warm = (at as f64 - 14.5) / (rules.recovery_time.0 as f64 / 1e6);
+                50.0 * (rules.recovery_start_share + (1.0 - rules.recovery_start_share) * warm.min(1.0))
             };
             let sent: u32 = sums.by_second[from..from + span].iter().flatten().sum();
-            let most = rules.fall_multiple * (from..from + span).map(capacity).sum::<f64>();
+            let most = rules.overload_multiple * (from..from + span).map(capacity).sum::<f64>();
             assert!(f64::from(sent) < most, "from {from} s: {sent} of {most}: {:?}", sums.by_second);
         }
         let served = sums.by_second[30..39].iter().map(|one| one[0]).sum::<u32>();
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -45,7 +45,7 @@
     let mut waits = Vec::new();
     for attempt in 0..3 {
         let from = sender.now;
-        let mut said = sender.settle(1, attempt, Outcome::Error);
+        let mut said = sender.settle(1, attempt, AttemptOutcome::Error);
         while !sends(&said).contains(&1) {
             said = sender.wait(10);
         }
@@ -62,7 +62,7 @@
     let mut sender = Sender::simple();
     sender.message(1, SAFE, None);
     let from = sender.now;
-    let mut said = sender.settle(1, 0, Outcome::Moot);
+    let mut said = sender.settle(1, 0, AttemptOutcome::NotSent);
     while sends(&said).is_empty() {
         said = sender.wait(10);
     }
@@ -71,7 +71,7 @@
 
 #[test]
 fn messages_of_a_batching_kind_share_a_call() {
-    let batching = Member { kind: 1, ..member(1, HOME, 10.0) };
+    let batching = EndpointRecord { kind: 1, ..member(1, HOME, 10.0) };
     let mut sender = Sender::new(settings(), vec![batching]);
     let events: Vec<Event> = (0..3).map(|id| handed_in(id, HOME, ms(9_000), SAFE, None)).collect();
     let mut said = Vec::new();
--- a/tests/random_drive.rs
+++ b/tests/random_drive.rs
@@ -37,9 +37,9 @@
     fn new(seed: u64) -> Self {
         let mut settings = settings();
         settings.weights = [Weights::Nominal, Weights::Rough, Weights::Absent][seed as usize % 3];
-        settings.senders = [2, 60][seed as usize % 2];
+        settings.forwarders = [2, 60][seed as usize % 2];
         settings.tenants = vec![3.0, 1.0];
-        settings.max_open = [60, 12][seed as usize / 6 % 2];
+        settings.max_messages = [60, 12][seed as usize / 6 % 2];
         let mut drive = Drive {
             dispatcher: Dispatcher::new(settings.clone(), seed),
             settings,
@@ -59,15 +59,16 @@
     }
 
     /// Endpoints 10 and 11 belong to destination 1, and so on.
-    fn members(&self) -> Vec<Member> {
+    fn members(&self) -> Vec<EndpointRecord> {
         let all = (1..=3u64).flat_map(|d| [(10 * d, d), (10 * d + 1, d)]);
-        all.map(|(e, d)| Member { kind: (d % 2) as usize, ..member(e, DestinationId(d), 20.0) }).collect()
+        all.map(|(e, d)| EndpointRecord { kind: (d % 2) as usize, ..member(e, DestinationId(d), 20.0) })
+            .collect()
     }
 
     fn start(&mut self) {
         self.told_off.clear();
         let members = self.members();
-        self.tell(Event::Members(ListScope::Cached, members));
+        self.tell(Event::EndpointRecords(ListScope::Cached, members));
     }
 
     /// The sender is killed and starts again with nothing but its list.
@@ -132,7 +133,7 @@
                 self.sent += 1;
                 self.seen.insert(id.0, message);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 assert!(!self.seen[&id.0].ended, "rule 1: a second answer");
                 assert!(self.harmless(&self.seen[&id.0]), "rule 2: refused though it may have run");
                 assert!(retry_after <= self.settings.max_retry_after);
@@ -153,32 +154,32 @@
         let message = self.seen.get_mut(&id).unwrap();
         let Some((attempt, sent_at)) = message.out.take() else { return };
         let outcome = match self.random.u32(0..20) {
-            0 => Outcome::Error,
-            1 => Outcome::TimedOut,
-            2 => Outcome::Reset,
-            3 => Outcome::ConnectFailed,
-            4 => Outcome::Full { wait: None },
-            5 => Outcome::Full { wait: Some(ms(self.random.u64(50..900))) },
-            6 => Outcome::Moot,
-            _ => Outcome::Served,
+            0 => AttemptOutcome::Error,
+            1 => AttemptOutcome::TimedOut,
+            2 => AttemptOutcome::Reset,
+            3 => AttemptOutcome::ConnectFailed,
+            4 => AttemptOutcome::Rejected { retry_after: None },
+            5 => AttemptOutcome::Rejected { retry_after: Some(ms(self.random.u64(50..900))) },
+            6 => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::Delivered,
         };
-        if matches!(outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset) {
+        if matches!(outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::Reset) {
             message.may_have_run.get_or_insert(sent_at);
-            if let (Some(key), true) = (message.key, outcome != Outcome::Error) {
-                self.rests.insert(key, (self.now.plus(self.settings.key_rest), id));
+            if let (Some(key), true) = (message.key, outcome != AttemptOutcome::Error) {
+                self.rests.insert(key, (self.now.plus(self.settings.key_backoff), id));
             }
         }
-        if let Outcome::Full { wait: Some(wait) } = outcome {
+        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
             let until = self.waits.entry(message.destination).or_default();
             *until = (*until).max(self.now.plus(wait));
         }
-        if outcome == Outcome::Served {
+        if outcome == AttemptOutcome::Delivered {
             message.ended = true;
             self.delivered += 1;
         }
         let closed = message.ended;
         let spent = self.now.minus(sent_at);
-        self.tell(Event::Settled { id: MessageId(id), attempt, outcome, spent, closed });
+        self.tell(Event::AttemptEnded { id: MessageId(id), attempt, outcome, spent, closed });
     }
 
     fn step(&mut self) {
@@ -204,7 +205,8 @@
                 }
                 let destination = DestinationId(destination);
                 let (tenant, again) = (self.random.usize(0..3), self.random.bool());
-                let message = HandedIn { destination, time_left: left, class, key, tenant, again };
+                let message =
+                    Submission { destination, time_left: left, class, key, tenant, resubmitted: again };
                 self.tell(Event::Message(MessageId(id), message));
             }
             150..=154 => {
@@ -221,7 +223,7 @@
                     member.lifecycle = Lifecycle::Draining;
                     self.told_off.insert(member.endpoint.0, self.now);
                 }
-                self.tell(Event::Members(ListScope::Changes, vec![member]));
+                self.tell(Event::EndpointRecords(ListScope::Changes, vec![member]));
             }
             159 => self.kill(),
             _ => self.tell(Event::Wake),
--- a/tests/restored.rs
+++ b/tests/restored.rs
@@ -5,14 +5,15 @@
 use cedarwharf::*;
 use common::*;
 
-fn restore(sender: &mut Sender, class: usize, past: Past) -> Vec<Action> {
+fn restore(sender: &mut Sender, class: usize, past: AttemptHistory) -> Vec<Action> {
     let time_left = ms(5_000);
-    let message = HandedIn { destination: HOME, time_left, class, key: None, tenant: 0, again: false };
+    let message =
+        Submission { destination: HOME, time_left, class, key: None, tenant: 0, resubmitted: false };
     sender.hear(Event::Restored(MessageId(1), message, past))
 }
 
-fn ran(sender: &Sender, ago: u64) -> Past {
-    Past { attempts: 1, may_have_run: Some((sender.now.minus(ms(ago)), EndpointId(1))) }
+fn ran(sender: &Sender, ago: u64) -> AttemptHistory {
+    AttemptHistory { attempts: 1, may_have_run: Some((sender.now.minus(ms(ago)), EndpointId(1))) }
 }
 
 #[test]
@@ -21,7 +22,7 @@
     let past = ran(&sender, 500);
     assert!(failed(&restore(&mut sender, UNSAFE, past), 1));
     let mut sender = Sender::simple();
-    let past = Past { attempts: 1, may_have_run: None };
+    let past = AttemptHistory { attempts: 1, may_have_run: None };
     assert_eq!(sends(&restore(&mut sender, UNSAFE, past)), [1]);
 }
 
@@ -41,18 +42,18 @@
 #[test]
 fn attempts_go_on_counting() {
     let mut sender = Sender::simple();
-    let past = Past { attempts: 4, may_have_run: None };
+    let past = AttemptHistory { attempts: 4, may_have_run: None };
     assert_eq!(sends(&restore(&mut sender, SAFE, past)), [1]);
     // The fifth was the last that the settings allow.
-    assert!(refused(&sender.settle(1, 4, Outcome::Full { wait: None }), 1));
+    assert!(refused(&sender.settle(1, 4, AttemptOutcome::Rejected { retry_after: None }), 1));
 }
 
 #[test]
 fn a_wait_told_beside_a_delivery_binds() {
     let mut sender = Sender::simple();
     assert_eq!(sends(&sender.message(1, SAFE, None)), [1]);
-    sender.hear(Event::Told(EndpointId(1), ms(600)));
-    assert!(sends(&sender.settle(1, 0, Outcome::Served)).is_empty());
+    sender.hear(Event::RetryAfter(EndpointId(1), ms(600)));
+    assert!(sends(&sender.settle(1, 0, AttemptOutcome::Delivered)).is_empty());
     assert!(sends(&sender.message(2, SAFE, None)).is_empty());
     assert!(sends(&sender.wait(580)).is_empty());
     assert_eq!(sends(&sender.wait(60)), [2]);
@@ -62,8 +63,13 @@
 fn recover(sender: &mut Sender, ids: std::ops::Range<u32>, class: usize, left: u64) {
     for id in ids {
         let time_left = ms(left);
-        let message = HandedIn { destination: HOME, time_left, class, key: None, tenant: 0, again: false };
-        sender.hear(Event::Restored(MessageId(id), message, Past { attempts: 0, may_have_run: None }));
+        let message =
+            Submission { destination: HOME, time_left, class, key: None, tenant: 0, resubmitted: false };
+        sender.hear(Event::Restored(
+            MessageId(id),
+            message,
+            AttemptHistory { attempts: 0, may_have_run: None },
+        ));
     }
 }
 
@@ -74,7 +80,7 @@
     for number in 0..millis / 50 {
         let mut said = sender.message(100 + number as u32, SAFE, None);
         sender.now = sender.now.plus(ms(50));
-        said.extend(sender.settle_after(out, 0, Outcome::Served, 50));
+        said.extend(sender.settle_after(out, 0, AttemptOutcome::Delivered, 50));
         called.extend(sends(&said));
         out = *called.last().unwrap();
     }
@@ -83,7 +89,7 @@
 
 fn one_slot() -> Settings {
     // A late message has lost most of its worth, and loses little more: newer ones are worth sending first.
-    Settings { slots: 1, fade: Fade::Halves, ..settings() }
+    Settings { slots: 1, worth_decay: WorthDecay::Halving, ..settings() }
 }
 
 #[test]
@@ -103,7 +109,7 @@
     let mut sender = Sender::new(one_slot(), vec![member(1, HOME, 100.0)]);
     for id in 90..92 {
         sender.message(id, SAFE, None);
-        sender.settle(id, 0, Outcome::Error);
+        sender.settle(id, 0, AttemptOutcome::Error);
         sender.hear(Event::Withdrawn(MessageId(id)));
     }
     assert_eq!(sends(&sender.message(99, SAFE, None)), [0; 0], "the destination is out");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 fn rule_1_a_message_without_room_is_answered_before_its_time_is_up() {
     let mut sender = Sender::simple();
     sender.message(1, SAFE, None);
-    sender.settle(1, 0, Outcome::Full { wait: Some(ms(30_000)) });
+    sender.settle(1, 0, AttemptOutcome::Rejected { retry_after: Some(ms(30_000)) });
     let before = sender.wait(11_900);
     assert!(!refused(&before, 1) && !failed(&before, 1), "held while there is hope");
     assert!(refused(&sender.wait(120), 1));
@@ -19,13 +19,15 @@
     let mut sender = Sender::simple();
     sender.message(1, SAFE, None);
     sender.hear(Event::Withdrawn(MessageId(1)));
-    let said = [sender.settle(1, 0, Outcome::TimedOut), sender.wait(13_000)].concat();
+    let said = [sender.settle(1, 0, AttemptOutcome::TimedOut), sender.wait(13_000)].concat();
     assert!(sends(&said).is_empty() && !refused(&said, 1) && !failed(&said, 1));
 }
 
 #[test]
 fn rule_2_an_unsafe_message_that_may_have_run_fails_at_once() {
-    for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Error, Outcome::Cancelled] {
+    for outcome in
+        [AttemptOutcome::TimedOut, AttemptOutcome::Reset, AttemptOutcome::Error, AttemptOutcome::Cancelled]
+    {
         let mut sender = Sender::simple();
         sender.message(1, UNSAFE, None);
         assert!(failed(&sender.settle(1, 0, outcome), 1), "{outcome:?}");
@@ -35,7 +37,11 @@
 
 #[test]
 fn rule_2_an_unsafe_message_that_never_ran_is_tried_again() {
-    for outcome in [Outcome::ConnectFailed, Outcome::Full { wait: None }, Outcome::Moot] {
+    for outcome in [
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Rejected { retry_after: None },
+        AttemptOutcome::NotSent,
+    ] {
         let mut sender = Sender::simple();
         sender.message(1, UNSAFE, None);
         sender.settle(1, 0, outcome);
@@ -48,7 +54,7 @@
     let mut sender = Sender::simple();
     sender.message(1, KEYED, None);
     sender.now = sender.now.plus(ms(5_100));
-    let said = sender.settle_after(1, 0, Outcome::TimedOut, 5_100);
+    let said = sender.settle_after(1, 0, AttemptOutcome::TimedOut, 5_100);
     assert!(refused(&said, 1));
     assert!(sends(&sender.wait(7_000)).is_empty());
 }
@@ -57,12 +63,12 @@
 fn rule_2_a_keyed_message_stays_in_the_zone_that_may_have_run_it() {
     let mut settings = settings();
     settings.classes[KEYED].effect = Effect::Keyed { scope: KeyScope::Zone, window: ms(5_000) };
-    let far = Member { zone: 1, ..member(2, HOME, 10.0) };
+    let far = EndpointRecord { zone: 1, ..member(2, HOME, 10.0) };
     let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0), far.clone()]);
     sender.message(1, KEYED, None);
-    sender.settle(1, 0, Outcome::Reset);
-    let gone = Member { lifecycle: Lifecycle::Gone, ..member(1, HOME, 10.0) };
-    sender.hear(Event::Members(ListScope::Changes, vec![gone]));
+    sender.settle(1, 0, AttemptOutcome::Reset);
+    let gone = EndpointRecord { lifecycle: Lifecycle::Gone, ..member(1, HOME, 10.0) };
+    sender.hear(Event::EndpointRecords(ListScope::Changes, vec![gone]));
     let said = sender.wait(12_000);
     assert!(sends(&said).is_empty(), "the other zone would run it again");
     assert!(failed(&said, 1), "and handing it back is not harmless either");
@@ -72,8 +78,8 @@
 fn rule_3_a_draining_endpoint_gets_nothing_after_the_grace() {
     for lifecycle in [Lifecycle::Draining, Lifecycle::Gone] {
         let mut sender = Sender::simple();
-        let told = Member { lifecycle, ..member(1, HOME, 10.0) };
-        sender.hear(Event::Members(ListScope::Changes, vec![told]));
+        let told = EndpointRecord { lifecycle, ..member(1, HOME, 10.0) };
+        sender.hear(Event::EndpointRecords(ListScope::Changes, vec![told]));
         sender.wait(700);
         let said = [sender.message(1, SAFE, None), sender.wait(3_000)].concat();
         assert!(sends(&said).is_empty(), "{lifecycle:?}");
@@ -84,7 +90,7 @@
 #[test]
 fn rule_3_an_endpoint_missing_from_a_whole_list_is_gone() {
     let mut sender = Sender::simple();
-    sender.hear(Event::Members(ListScope::Whole, vec![member(2, DestinationId(8), 5.0)]));
+    sender.hear(Event::EndpointRecords(ListScope::Whole, vec![member(2, DestinationId(8), 5.0)]));
     sender.wait(700);
     assert!(sends(&sender.message(1, SAFE, None)).is_empty());
 }
@@ -103,7 +109,7 @@
             id += 1;
             said.extend(sender.message(id, SAFE, None));
         }
-        let outcome = if step < 600 { Outcome::ConnectFailed } else { Outcome::Served };
+        let outcome = if step < 600 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Delivered };
         for (id, attempt) in std::mem::take(&mut out) {
             said.extend(sender.settle(id, attempt, outcome));
         }
@@ -134,16 +140,16 @@
     said.extend(sender.message(3, ORDERED, Some(6)));
     said.extend(sender.wait(300));
     assert_eq!(sends(&said), [1, 3]);
-    assert_eq!(sends(&[sender.settle(1, 0, Outcome::Served), sender.wait(300)].concat()), [2]);
+    assert_eq!(sends(&[sender.settle(1, 0, AttemptOutcome::Delivered), sender.wait(300)].concat()), [2]);
 }
 
 #[test]
 fn rule_5_a_key_rests_after_an_unknown_outcome() {
     let mut sender = Sender::simple();
     sender.message(1, ORDERED, Some(5));
-    sender.settle(9, 0, Outcome::Served);
+    sender.settle(9, 0, AttemptOutcome::Delivered);
     sender.message(2, ORDERED, Some(5));
-    let mut said = sender.settle(1, 0, Outcome::Reset);
+    let mut said = sender.settle(1, 0, AttemptOutcome::Reset);
     said.extend(sender.wait(390));
     assert!(sends(&said).is_empty());
     assert_eq!(sends(&sender.wait(1_500)), [2]);
@@ -155,14 +161,14 @@
     sender.message(1, ORDERED, Some(5));
     sender.message(2, ORDERED, Some(5));
     assert!(sends(&[sender.hear(Event::Withdrawn(MessageId(1))), sender.wait(1_000)].concat()).is_empty());
-    assert_eq!(sends(&[sender.settle(1, 0, Outcome::Served), sender.wait(100)].concat()), [2]);
+    assert_eq!(sends(&[sender.settle(1, 0, AttemptOutcome::Delivered), sender.wait(100)].concat()), [2]);
 }
 
 #[test]
 fn rule_6_nothing_goes_to_a_destination_during_a_told_wait() {
     let mut sender = Sender::new(settings(), vec![member(1, HOME, 10.0), member(2, HOME, 10.0)]);
     sender.message(1, SAFE, None);
-    sender.settle(1, 0, Outcome::Full { wait: Some(ms(1_500)) });
+    sender.settle(1, 0, AttemptOutcome::Rejected { retry_after: Some(ms(1_500)) });
     let said = [sender.message(2, SAFE, None), sender.wait(1_490)].concat();
     assert!(sends(&said).is_empty(), "neither endpoint");
     assert!(!sends(&sender.wait(2_000)).is_empty());
@@ -171,11 +177,11 @@
 #[test]
 fn rule_6_binds_one_route_where_routes_are_apart() {
     let mut settings = settings();
-    settings.kinds[0].routes_apart = true;
+    settings.kinds[0].separate_routes = true;
     let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0), member(2, HOME, 10.0)]);
     let first = sender.message(1, SAFE, None);
     let Some(Action::Send { endpoint, .. }) = first.first().cloned() else { panic!("not sent: {first:?}") };
-    sender.settle(1, 0, Outcome::Full { wait: Some(ms(1_500)) });
+    sender.settle(1, 0, AttemptOutcome::Rejected { retry_after: Some(ms(1_500)) });
     let said = [sender.message(2, SAFE, None), sender.wait(1_000)].concat();
     assert!(!sends(&said).is_empty());
     assert!(said.iter().all(|a| !matches!(a, Action::Send { endpoint: to, .. } if *to == endpoint)));
@@ -183,10 +189,10 @@
 
 #[test]
 fn rule_6_the_first_message_of_a_call_to_hear_of_a_wait_binds_the_rest() {
-    let batching = Member { kind: 1, ..member(1, HOME, 10.0) };
+    let batching = EndpointRecord { kind: 1, ..member(1, HOME, 10.0) };
     let mut sender = Sender::new(settings(), vec![batching]);
     sender.message(1, SAFE, None);
-    sender.settle(1, 0, Outcome::Full { wait: Some(ms(100)) });
+    sender.settle(1, 0, AttemptOutcome::Rejected { retry_after: Some(ms(100)) });
     sender.message(2, SAFE, None);
     sender.message(3, SAFE, None);
     let mut both = Vec::new();
@@ -194,7 +200,11 @@
         both.extend(sender.wait(10));
     }
     let together = sends(&both);
-    sender.settle(together[0], u32::from(together[0] == 1), Outcome::Full { wait: Some(ms(2_000)) });
+    sender.settle(
+        together[0],
+        u32::from(together[0] == 1),
+        AttemptOutcome::Rejected { retry_after: Some(ms(2_000)) },
+    );
     assert!(sends(&sender.wait(1_900)).is_empty(), "the other message of the call is still out");
 }
 
@@ -205,17 +215,24 @@
     let count = |spent, outcome| -> usize {
         let again = (0..40).map(|seed| {
             let mut settings = settings();
-            (settings.senders, settings.weights) = (300, Weights::Absent);
+            (settings.forwarders, settings.weights) = (300, Weights::Absent);
             let mut sender = Sender::new(settings.clone(), Vec::new());
             sender.dispatcher = Dispatcher::new(settings, seed * 7_919);
-            sender.hear(Event::Members(ListScope::Cached, vec![member(1, HOME, 0.0), member(2, HOME, 0.0)]));
+            sender.hear(Event::EndpointRecords(
+                ListScope::Cached,
+                vec![member(1, HOME, 0.0), member(2, HOME, 0.0)],
+            ));
             sender.message(1, SAFE, None);
             sender.settle_after(1, 0, outcome, spent);
             sends(&sender.wait(2_500)).len()
         });
         again.sum()
     };
-    assert!(count(1_000, Outcome::ConnectFailed) <= 8, "{}", count(1_000, Outcome::ConnectFailed));
-    assert!(count(2_000, Outcome::TimedOut) <= 8, "{}", count(2_000, Outcome::TimedOut));
-    assert!(count(40, Outcome::ConnectFailed) >= 30, "a full table leaves the other endpoint open");
+    assert!(
+        count(1_000, AttemptOutcome::ConnectFailed) <= 8,
+        "{}",
+        count(1_000, AttemptOutcome::ConnectFailed)
+    );
+    assert!(count(2_000, AttemptOutcome::TimedOut) <= 8, "{}", count(2_000, AttemptOutcome::TimedOut));
+    assert!(count(40, AttemptOutcome::ConnectFailed) >= 30, "a full table leaves the other endpoint open");
 }
--- a/tests/tenancy.rs
+++ b/tests/tenancy.rs
@@ -4,7 +4,7 @@
 
 use cedarwharf::engine::{Engine, Input, Offer, Output, Reply};
 use cedarwharf::tenancy::rate::Rate;
-use cedarwharf::tenancy::{Isolation, Told};
+use cedarwharf::tenancy::{Isolation, ShareLimits};
 use cedarwharf::*;
 use common::core::{core, offer, reply_in, start_with, Folder};
 use common::{member, ms, settings, HOME, SAFE, UNSAFE};
@@ -15,7 +15,14 @@
 
 fn tenants(isolation: Vec<Isolation>) -> Settings {
     let quotas = vec![1.0; isolation.len()];
-    Settings { tenants: quotas, isolation, slots: 8, max_open: 80, weights: Weights::Absent, ..settings() }
+    Settings {
+        tenants: quotas,
+        isolation,
+        slots: 8,
+        max_messages: 80,
+        weights: Weights::Absent,
+        ..settings()
+    }
 }
 
 fn started(folder: &Folder, told: Settings) -> Engine {
@@ -73,7 +80,11 @@
         for call in over {
             let (_, destination) = self.out.remove(&call).unwrap();
             *self.delivered.entry(destination).or_default() += 1;
-            inputs.push(Input::Answered { call, results: vec![(0, Outcome::Served, true)], wait: None });
+            inputs.push(Input::Answered {
+                call,
+                results: vec![(0, AttemptOutcome::Delivered, true)],
+                wait: None,
+            });
         }
         for output in self.engine.turn(ms(self.now), inputs) {
             match output {
@@ -160,7 +171,7 @@
 fn a_ceiling_lowered_under_what_is_held_takes_nothing_away() {
     let folder = Folder::new("ceiling");
     let told = |ceiling| {
-        let held = Told { guarantee: None, ceiling: Some(ceiling) };
+        let held = ShareLimits { guarantee: None, ceiling: Some(ceiling) };
         tenants(vec![Isolation { held, ..Isolation::default() }, Isolation::default()])
     };
     let engine = started(&folder, told(50));
@@ -181,7 +192,7 @@
 #[test]
 fn who_offers_faster_than_it_may_hears_when_to_come_back() {
     let folder = Folder::new("arrivals");
-    let arrivals = Some(Rate { a_second: 10.0, burst: 3 });
+    let arrivals = Some(Rate { per_second: 10.0, burst: 3 });
     let told = tenants(vec![Isolation { arrivals, ..Isolation::default() }, Isolation::default()]);
     let mut engine = started(&folder, told);
     let mut ask =
@@ -216,7 +227,11 @@
     let wait = Some(ms(1_000));
     let (&call, _) = partners.out.iter().next().unwrap();
     partners.out.clear();
-    let told = Input::Answered { call, results: vec![(0, Outcome::Full { wait }, false)], wait };
+    let told = Input::Answered {
+        call,
+        results: vec![(0, AttemptOutcome::Rejected { retry_after: wait }, false)],
+        wait,
+    };
     let until = partners.now + 1_000;
     partners.step(vec![told]);
     partners.out.clear();
@@ -232,7 +247,7 @@
 fn an_owner_refused_where_all_is_full_has_what_a_borrower_gives_back() {
     let folder = Folder::new("claim");
     // As many held as there are slots, so that the module sheds none.
-    let engine = started(&folder, Settings { max_open: 8, ..tenants(vec![Isolation::default(); 2]) });
+    let engine = started(&folder, Settings { max_messages: 8, ..tenants(vec![Isolation::default(); 2]) });
     let mut partners = Partners::new(engine, 300, 300);
     for (tenant, home, count) in [(0, HOME, 7), (1, AWAY, 1)] {
         let offers = (0..count).map(|one| offer_of(tenant, home, UNSAFE, &format!("{tenant}-{one}")));
@@ -267,8 +282,11 @@
         let outputs = engine.turn(ms(now), [Input::Offer(one)]);
         for output in &outputs {
             if let Output::Call { call, .. } = output {
-                let answered =
-                    Input::Answered { call: *call, results: vec![(0, Outcome::Served, true)], wait: None };
+                let answered = Input::Answered {
+                    call: *call,
+                    results: vec![(0, AttemptOutcome::Delivered, true)],
+                    wait: None,
+                };
                 engine.turn(ms(now), [Input::Written(*call), answered]);
             }
         }
@@ -295,7 +313,7 @@
         let guarantee = |random: &mut fastrand::Rng| random.bool().then(|| random.u64(0..3));
         let isolation = (0..count).map(|_| Isolation {
             weight: 0.5 + random.f64() * 3.0,
-            slots: Told { guarantee: guarantee(&mut random), ceiling: None },
+            slots: ShareLimits { guarantee: guarantee(&mut random), ceiling: None },
             ..Isolation::default()
         });
         let told = tenants(isolation.collect());
@@ -311,7 +329,7 @@
                 if at <= now {
                     inputs.push(Input::Answered {
                         call,
-                        results: vec![(0, Outcome::Served, true)],
+                        results: vec![(0, AttemptOutcome::Delivered, true)],
                         wait: None,
                     });
                     ends += 1;
