--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,65 +1,66 @@
-//! The types that pass in and out of a [`Dispatcher`](crate::Dispatcher): settings, events, actions.
-//! Nothing here decides anything, and nothing here knows how a sender talks to its surroundings.
+//! The types that pass in and out of a [`Dispatcher`](crate::Dispatcher): settings, events and actions.
+//! They contain no decisions and are independent of the transport.
 
 use crate::report::Report;
 use crate::tenancy::Isolation;
 use serde::{Deserialize, Serialize};
 
-/// A point on the sender's clock, or a length of time, in whole microseconds.
+/// A point in time on the forwarder's clock, or a duration, in whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// A length of so many milliseconds; what is not a positive number counts as zero.
+    /// A duration of `ms` milliseconds. A negative number and NaN count as zero.
     pub fn from_ms(ms: f64) -> Self {
         Micros((ms * 1e3).round() as u64)
     }
 
-    /// The same, in milliseconds.
+    /// The value in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
 
-    /// The sum, held at the largest value.
+    /// Saturating addition.
     pub fn plus(self, other: Self) -> Self {
         Micros(self.0.saturating_add(other.0))
     }
 
-    /// The difference, held at zero.
+    /// Saturating subtraction: zero where `other` is larger.
     pub fn minus(self, other: Self) -> Self {
         Micros(self.0.saturating_sub(other.0))
     }
 }
 
-/// A message; never used again for another.
+/// Identifies a message. An id is never reused for another message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MessageId(pub u32);
 
-/// An outside destination: one partner, behind one or more endpoints.
+/// Identifies a destination outside of the process, served by one or more endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DestinationId(pub u64);
 
-/// One endpoint of a destination.
+/// Identifies one endpoint of a destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointId(pub u64);
 
-/// What repeating a message does at its destination.
+/// The effect of delivering a message to its destination more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It may be sent again at will.
+    /// Repeats do no harm: the message may be sent any number of times.
     Safe,
-    /// Repeats are dropped by receivers in `scope`, for `window` from the first send that may have run.
+    /// Receivers in `scope` drop repeats for `window`, counted from the first attempt that may have been
+    /// executed.
     Keyed {
-        /// Which receivers drop repeats.
+        /// The receivers that share the record of seen messages.
         scope: KeyScope,
-        /// For how long.
+        /// How long a receiver remembers the message.
         window: Micros,
     },
-    /// It must never take effect twice.
+    /// The message must never take effect twice.
     Unsafe,
 }
 
-/// The receivers that share the memory of a keyed message.
+/// The receivers that share one deduplication record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints of the destination.
@@ -70,111 +71,113 @@
     Endpoint,
 }
 
-/// How worth falls after the aim.
+/// How the worth of a message decays after its target time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorthDecay {
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, down to the late share at the deadline.
     Linear,
-    /// By half with each further aim, but not under the late share.
+    /// Halved with each further target time that passes, but never below the late share.
     Halving,
 }
 
-/// One class of message.
+/// Settings of one class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// What repeating does.
+    /// The effect of repeating a message.
     pub effect: Effect,
-    /// Messages with one order key go one at a time.
+    /// Messages with the same order key are sent one at a time.
     pub in_order: bool,
-    /// Delivered within this time of being first handed in, a message earns its full worth.
+    /// A message delivered within this time of its first submission has its full worth.
     pub target_time: Micros,
-    /// The time in which it may be delivered at all.
+    /// Time after the first submission until which a message may be delivered.
     pub deadline: Micros,
-    /// Worth of a message delivered in time.
+    /// Worth of a message delivered within its target time.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the worth that remains at the deadline.
     pub late_share: f64,
 }
 
-/// One kind of destination.
+/// Settings of one kind of destination.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KindSettings {
-    /// The endpoints of a destination are routes with limits, pace and outages of their own.
+    /// Each endpoint of a destination is a separate route with its own limit, send rate and health.
     pub separate_routes: bool,
-    /// Messages that one call may carry.
+    /// Largest number of messages that one call may carry.
     pub batch: u32,
 }
 
-/// What the listed rate of an endpoint means.
+/// The meaning of the weight in an endpoint record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// The weight has no meaning.
     Absent,
-    /// Calls a second that the destination (or route) takes from all senders together.
+    /// Calls per second that the destination (or route) accepts from all forwarders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// Like `Nominal`, but the value may be up to half too high or too low.
     Rough,
 }
 
-/// All that a sender is told at its start.
+/// Settings of a dispatcher, given at its start and replaceable by [`Event::Settings`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes of message, by index.
+    /// Message classes, by index.
     pub classes: Vec<ClassSettings>,
-    /// Kinds of destination, by index.
+    /// Destination kinds, by index.
     pub kinds: Vec<KindSettings>,
-    /// What the listed rates mean.
+    /// The meaning of [`EndpointRecord::weight`].
     pub weights: Weights,
-    /// How worth falls after the aim.
+    /// How the worth of a message decays after its target time.
     pub worth_decay: WorthDecay,
-    /// For each tenant, the messages a second, over all senders, within its share; empty without tenants.
+    /// For each tenant, the messages per second over all forwarders that are within its share; empty without
+    /// tenants.
     pub tenants: Vec<f64>,
-    /// What each tenant may use of what all share, by place; empty where nothing is parted.
+    /// Each tenant's shares of the common resources, by index; empty where resources are not divided.
     pub isolation: Vec<Isolation>,
-    /// Worth of a message beyond its tenant's share, as a part of its class's worth.
+    /// Worth of a message beyond its tenant's share, as a fraction of its class's worth.
     pub over_share_worth: f64,
-    /// Senders that share the destinations, this one included.
+    /// Forwarders that share the destinations, including this one.
     pub forwarders: u32,
-    /// Calls that may be out at once.
+    /// Largest number of concurrent calls.
     pub slots: u32,
-    /// Messages that may be held, sent or not.
+    /// Largest number of messages held at a time, in flight or not.
     pub max_messages: u32,
-    /// Attempts for one message.
+    /// Largest number of attempts for one message.
     pub max_attempts: u32,
-    /// Attempts may be called off.
+    /// Attempts in flight may be cancelled.
     pub can_cancel: bool,
-    /// The list of endpoints comes only to those who subscribe.
+    /// The endpoint list is delivered only after a subscription.
     pub must_subscribe: bool,
-    /// Longest advice to stay away that a client follows.
+    /// Longest retry-after that clients obey.
     pub max_retry_after: Micros,
-    /// Connections unused for so long are closed.
+    /// Idle time after which a connection is closed.
     pub connection_idle: Micros,
-    /// Sends to a draining or gone endpoint must have ceased by then.
+    /// Time after which no more may be sent to a draining or removed endpoint.
     pub drain_grace: Micros,
-    /// Share of its capacity that a destination has at least after an outage.
+    /// Least share of its capacity that a destination has directly after an outage.
     pub recovery_start_share: f64,
-    /// Time after which it has all of it.
+    /// Time after an outage until a destination has its full capacity again.
     pub recovery_time: Micros,
-    /// It falls over when sent more than this many times its present capacity...
+    /// A recovering destination fails again when it is sent more than this multiple of its present
+    /// capacity...
     pub overload_multiple: f64,
-    /// ...for so long.
+    /// ...for this long.
     pub overload_window: Micros,
-    /// How long an order key rests after an attempt that may still be running.
+    /// Time that an order key is blocked after an attempt that may still be running.
     pub key_backoff: Micros,
 }
 
-/// Where an endpoint stands in the list.
+/// Lifecycle state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// In service, as far as the list knows.
+    /// In service according to the list.
     Ready,
-    /// Nothing new may be sent.
+    /// No new messages may be sent to the endpoint.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// One entry of the list of endpoints.
+/// One record of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// The endpoint.
@@ -185,67 +188,67 @@
     pub zone: u32,
     /// Its destination's kind, by index.
     pub kind: usize,
-    /// Where it stands.
+    /// Its lifecycle state.
     pub lifecycle: Lifecycle,
-    /// See [`Settings::weights`].
+    /// Its weight: see [`Settings::weights`].
     pub weight: f64,
 }
 
-/// How much of the list an event brings.
+/// How much of the endpoint list an event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed entries only.
+    /// Changed records only.
     Changes,
-    /// All entries; who is missing is gone.
+    /// All records; an endpoint without a record is gone.
     Whole,
-    /// All entries as last held, perhaps stale.
+    /// All records as last cached; they may be stale.
     Cached,
-    /// A call for the list failed.
+    /// The list could not be fetched.
     Failed,
 }
 
-/// What became of an attempt.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Delivered.
+    /// The endpoint confirmed the delivery.
     Delivered,
-    /// Answered with an error; may have taken effect.
+    /// The endpoint answered with an error; the message may have taken effect.
     Error,
-    /// Turned away unseen, with the wait told, if any.
+    /// The endpoint rejected the message without processing it.
     Rejected {
-        /// Nothing may be sent there for so long.
+        /// Time for which nothing may be sent to the destination, where the answer contains one.
         retry_after: Option<Micros>,
     },
-    /// No answer in time; may have run.
+    /// No answer in time; the message may have been executed.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection was established; the message was never executed.
     ConnectFailed,
-    /// A connection came up and was turned away with a word: the endpoint holds all that it takes. Never ran.
+    /// A new connection was rejected with an answer: the endpoint is at its connection limit. Never executed.
     ConnectionLimitReached,
-    /// The connection broke; may have run.
+    /// The connection broke; the message may have been executed.
     Reset,
-    /// Answered with what cannot be read; may have run. The receiver is there.
+    /// The answer could not be parsed; the message may have been executed. The endpoint is reachable.
     MalformedAnswer,
-    /// Called off; may have run.
+    /// The attempt was cancelled; the message may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The message was not sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the message never ran.
+    /// Whether the outcome proves that the message was never executed.
     pub fn never_ran(self) -> bool {
         use AttemptOutcome::{ConnectFailed, ConnectionLimitReached, NotSent, Rejected};
         matches!(self, Rejected { .. } | ConnectFailed | ConnectionLimitReached | NotSent)
     }
 }
 
-/// A message as it is handed in.
+/// A message as it is submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// Where it must go.
+    /// Its destination.
     pub destination: DestinationId,
-    /// How long it may still be delivered.
+    /// Time left in which it may be delivered.
     pub time_left: Micros,
     /// Its class, by index.
     pub class: usize,
@@ -253,90 +256,92 @@
     pub key: Option<u64>,
     /// Its tenant, by index.
     pub tenant: usize,
-    /// It is known to have been handed in before.
+    /// The message is known to have been submitted before.
     pub resubmitted: bool,
 }
 
-/// What is known of a message that outlived the process that took it.
+/// The attempts already made for a message that outlived the process that accepted it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptHistory {
-    /// Attempts that it has had.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// The first attempt that may have run: when it was sent, and where to.
+    /// The first attempt that may have been executed: when it was sent, and to which endpoint.
     pub may_have_run: Option<(Micros, EndpointId)>,
 }
 
-/// What a sender hears.
+/// Input of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list.
+    /// An update of the endpoint list.
     EndpointRecords(ListScope, Vec<EndpointRecord>),
     /// A new message.
     Message(MessageId, Submission),
-    /// A message that an earlier process of this sender took on and did not end.
+    /// A message that an earlier process of this forwarder accepted and that has no final outcome yet.
     Restored(MessageId, Submission, AttemptHistory),
-    /// An answer told to send nothing to an endpoint's destination for so long, whatever became of its call.
+    /// An answer from an endpoint contained a retry-after for its destination, whatever the outcome of the
+    /// call.
     RetryAfter(EndpointId, Micros),
-    /// An answer told of the limit of an endpoint's destination; comes before what became of its call.
+    /// An answer from an endpoint reported its destination's limit. Comes before the outcome of the call.
     Report(EndpointId, Report),
     /// An attempt ended.
     AttemptEnded {
         /// The message.
         id: MessageId,
-        /// Which attempt, from 0 in the order of sending.
+        /// Number of the attempt, from 0 in the order of sending.
         attempt: u32,
-        /// How it ended.
+        /// The attempt outcome.
         outcome: AttemptOutcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         spent: Micros,
-        /// The message has had its final answer.
+        /// The message has its final outcome.
         closed: bool,
     },
-    /// Other settings from now on. Classes, tenants and kinds keep their places; new ones follow them.
+    /// Replaces the settings. Classes, tenants and kinds keep their indices; new ones are appended.
     Settings(Box<Settings>),
-    /// Nobody wants this message any more.
+    /// The client has withdrawn the message.
     Withdrawn(MessageId),
-    /// A wake-up asked for earlier.
+    /// The wake-up requested by [`Action::WakeIn`].
     Wake,
 }
 
-/// What a sender shall do.
+/// Output of a dispatcher: what the caller must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a message.
     Send {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// The endpoint to send to.
         endpoint: EndpointId,
-        /// When to stop waiting for it.
+        /// Time after which to stop waiting for an answer.
         timeout: Micros,
-        /// Its last byte leaves before that moment, or none does: a connection may be long in coming up, and what was allowed
-        /// when the call began is not any more.
+        /// Latest time at which the last byte may be sent; later, nothing is sent. A connection may take long
+        /// to be established, and a send that was allowed at the start of the call may no longer be allowed
+        /// then.
         leaves_by: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MessageId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: handed back, harmless to hand in again after the wait.
+    /// Final outcome: rejected. It is harmless to submit the message again after the retry-after.
     Reject {
         /// The message.
         id: MessageId,
-        /// How long to stay away.
+        /// Time after which the client may submit the message again.
         retry_after: Micros,
     },
-    /// Final answer: failed.
+    /// Final outcome: failed.
     Fail(MessageId),
-    /// Bring a [`Event::Wake`] after so long.
+    /// Deliver an [`Event::Wake`] after this time.
     WakeIn(Micros),
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Subscribe to the list of endpoints.
+    /// Subscribe to the endpoint list.
     Subscribe,
-    /// A line for those on call.
+    /// A log line for the operators.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decisions of a dispatcher that delivers notifications to outside receivers.
+//! A dispatcher that delivers messages to destinations outside of the process.
 //!
-//! A [`Dispatcher`] is sans-IO: it is told what happened, and when, and answers with what to do. It opens no
-//! connection, reads no clock and keeps no thread, so a sender embeds it in whatever loop it has. The same
-//! settings, seed and events always bring the same actions.
+//! A [`Dispatcher`] is sans-IO: it receives timestamped events and returns actions. It opens no connections,
+//! reads no clock and starts no threads, so that a forwarder can embed it in any event loop. The same settings,
+//! seed and events always produce the same actions.
 //!
-//! Tries are spaced by the adaptive T1 timer of "High Load Diminution by Regulating Timers in SIP Servers"; the
-//! guards around it keep six rules, from "one final answer a message" to "nothing during a told wait".
+//! Attempts are spaced by the adaptive T1 timer of "High Load Diminution by Regulating Timers in SIP Servers". The
+//! code around it enforces six rules, from "one final outcome per message" to "nothing is sent during a retry-after".
 //!
 //! ```
 //! use cedarwharf::*;
@@ -42,44 +42,44 @@
 //!     key_backoff: Micros(0),
 //! };
 //! let mut dispatcher = Dispatcher::new(settings, 42);
-//! let (partner, endpoint, id) = (DestinationId(1), EndpointId(10), MessageId(7));
-//! let listed = EndpointRecord {
+//! let (destination, endpoint, id) = (DestinationId(1), EndpointId(10), MessageId(7));
+//! let record = EndpointRecord {
 //!     endpoint,
-//!     destination: partner,
+//!     destination,
 //!     zone: 0,
 //!     kind: 0,
 //!     lifecycle: Lifecycle::Ready,
 //!     weight: 0.0,
 //! };
 //! let time_left = Micros::from_ms(10_000.0);
-//! let handed_in =
-//!     Submission { destination: partner, time_left, class: 0, key: None, tenant: 0, resubmitted: false };
+//! let submission =
+//!     Submission { destination, time_left, class: 0, key: None, tenant: 0, resubmitted: false };
 //! let mut actions = Vec::new();
 //!
-//! // The list of endpoints comes, then a message: it is sent.
+//! // The endpoint list arrives, then a message: the message is sent.
 //! let events = [
-//!     Event::EndpointRecords(ListScope::Whole, vec![listed]),
-//!     Event::Message(id, handed_in),
+//!     Event::EndpointRecords(ListScope::Whole, vec![record]),
+//!     Event::Message(id, submission),
 //! ];
 //! dispatcher.handle(Micros::from_ms(1_000.0), events, &mut actions);
 //! assert!(matches!(actions[..], [Action::Send { .. }]));
 //!
-//! // The partner is full and tells a wait: nothing goes there before it is over.
+//! // The destination rejects it with a retry-after: nothing is sent there before that time has passed.
 //! actions.clear();
-//! let wait = Some(Micros::from_ms(800.0));
-//! let full = Event::AttemptEnded {
+//! let retry_after = Some(Micros::from_ms(800.0));
+//! let rejected = Event::AttemptEnded {
 //!     id,
 //!     attempt: 0,
-//!     outcome: AttemptOutcome::Rejected { retry_after: wait },
+//!     outcome: AttemptOutcome::Rejected { retry_after },
 //!     spent: Micros::from_ms(30.0),
 //!     closed: false,
 //! };
-//! dispatcher.handle(Micros::from_ms(1_030.0), [full], &mut actions);
+//! dispatcher.handle(Micros::from_ms(1_030.0), [rejected], &mut actions);
 //! assert!(matches!(actions[..], [Action::WakeIn(_)]));
 //!
-//! // Once the wait and the pause of Timer A are over, it goes out again, and is delivered.
+//! // After the retry-after and the backoff of Timer A, the message is sent again and delivered.
 //! let mut now = Micros::from_ms(1_030.0);
-//! let sent_again = loop {
+//! let resent_at = loop {
 //!     actions.clear();
 //!     now = now.plus(Micros::from_ms(20.0));
 //!     dispatcher.handle(now, [Event::Wake], &mut actions);
@@ -87,17 +87,17 @@
 //!         break now;
 //!     }
 //! };
-//! assert!(sent_again >= Micros::from_ms(1_830.0));
+//! assert!(resent_at >= Micros::from_ms(1_830.0));
 //! actions.clear();
-//! let served = Event::AttemptEnded {
+//! let delivered = Event::AttemptEnded {
 //!     id,
 //!     attempt: 1,
 //!     outcome: AttemptOutcome::Delivered,
 //!     spent: Micros::from_ms(90.0),
 //!     closed: true,
 //! };
-//! dispatcher.handle(now.plus(Micros::from_ms(90.0)), [served], &mut actions);
-//! assert!(actions.is_empty(), "served: that was the final answer");
+//! dispatcher.handle(now.plus(Micros::from_ms(90.0)), [delivered], &mut actions);
+//! assert!(actions.is_empty(), "delivered: that was the final outcome");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,43 +1,44 @@
-//! What a real server tells of its limit in its answers: the share of the allowance that is left, and the calls a second
-//! that it takes from all senders together. Whatever is no such pair of numbers tells nothing.
+//! An endpoint's report of its limit, part of its answers: the share of its allowance that is left, and the calls per
+//! second that it accepts from all forwarders together. Anything that is not a valid pair of numbers is ignored.
 
-/// The names of the two figures.
-const LEFT: &str = "x0";
-const LIMIT: &str = "x1";
-/// No partner takes so many calls a second: a figure beyond is damage.
-const MOST: f64 = 1e6;
+/// Name of the share that is left.
+const LEFT_NAME: &str = "x0";
+/// Name of the limit.
+const LIMIT_NAME: &str = "x1";
+/// Calls per second. No destination accepts more, so that a larger value must be corrupt.
+const MAX_LIMIT: f64 = 1e6;
 
-/// One report.
+/// A report of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// Share of the allowance that is left, 0 to 1.
+    /// Share of the allowance that is left, from 0 to 1.
     pub left: f64,
-    /// Calls a second, above zero.
+    /// Calls per second, above zero.
     pub limit: f64,
 }
 
 impl Report {
-    /// From the two figures; nothing where there is no limit, or where they cannot be true.
+    /// Builds a report from the two numbers; `None` where the limit is zero or a number is out of range.
     pub fn new(left: f64, limit: f64) -> Option<Report> {
-        let sane = (0.0..=1.0).contains(&left) && limit > 0.0 && limit <= MOST;
-        sane.then_some(Report { left, limit })
+        let valid = (0.0..=1.0).contains(&left) && limit > 0.0 && limit <= MAX_LIMIT;
+        valid.then_some(Report { left, limit })
     }
 
-    /// From `name=value` pairs with commas between. A name that stands twice tells nothing.
+    /// Parses comma-separated `name=value` pairs; `None` where one of the two names is missing or occurs twice.
     pub fn parse(text: &str) -> Option<Report> {
-        let figure = |wanted: &str| {
+        let number = |expected: &str| {
             let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
-            let mut values = pairs.filter(|(name, _)| name.trim() == wanted).map(|(_, value)| value);
+            let mut values = pairs.filter(|(name, _)| name.trim() == expected).map(|(_, value)| value);
             let value: f64 = values.next()?.trim().parse().ok()?;
             values.next().is_none().then_some(value)
         };
-        Report::new(figure(LEFT)?, figure(LIMIT)?)
+        Report::new(number(LEFT_NAME)?, number(LIMIT_NAME)?)
     }
 
-    /// The places of the two figures among the names that the settings list.
+    /// The indices of the two numbers in the list of names from the settings.
     pub fn indices<'a>(names: impl Iterator<Item = &'a str> + Clone) -> Option<(usize, usize)> {
-        let place = |wanted| names.clone().position(|name| name == wanted);
-        Some((place(LEFT)?, place(LIMIT)?))
+        let index = |expected| names.clone().position(|name| name == expected);
+        Some((index(LEFT_NAME)?, index(LIMIT_NAME)?))
     }
 }
 
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Settings of no deployment: other names, effects and figures than any page has.
-const TOLD: &str = "\
+/// Valid settings whose names and values occur in no real deployment, so that no default can hide a parse error.
+const VALID_SETTINGS: &str = "\
 requestClasses.count=2
 requestClasses.0.name=zz-one
 requestClasses.0.effect=dedup
@@ -22,8 +22,8 @@
 domain.callsOut=3
 ";
 
-fn with(path: &str, value: Option<&str>) -> Result<Settings, String> {
-    let lines = TOLD.lines().filter(|line| !line.starts_with(&format!("{path}=")));
+fn with_value(path: &str, value: Option<&str>) -> Result<Settings, String> {
+    let lines = VALID_SETTINGS.lines().filter(|line| !line.starts_with(&format!("{path}=")));
     let mut text: String = lines.flat_map(|line| [line, "\n"]).collect();
     if let Some(value) = value {
         text.push_str(&format!("{path}={value}\n"));
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn what_is_told_is_taken_whatever_the_deployment() {
-    let told = parse(TOLD.as_bytes()).unwrap();
-    assert_eq!(told.classes.len(), 2);
+fn valid_settings_are_parsed_whatever_the_deployment() {
+    let settings = parse(VALID_SETTINGS.as_bytes()).unwrap();
+    assert_eq!(settings.classes.len(), 2);
     let window = Micros(1_000_000);
-    assert_eq!(told.classes[0].effect, Effect::Keyed { window, scope: KeyScope::Zone });
-    // A time that is over before its aim is no contradiction: the aim is not reached.
-    assert!(told.classes[1].deadline < told.classes[1].target_time);
-    assert_eq!((told.slots, told.max_attempts, told.forwarders), (3, 2, 1));
-    assert_eq!((told.drain_grace, told.recovery_time), (Micros(30_000), Micros(100_000)));
+    assert_eq!(settings.classes[0].effect, Effect::Keyed { window, scope: KeyScope::Zone });
+    // A deadline before the target time is valid: the target time is then never reached.
+    assert!(settings.classes[1].deadline < settings.classes[1].target_time);
+    assert_eq!((settings.slots, settings.max_attempts, settings.forwarders), (3, 2, 1));
+    assert_eq!((settings.drain_grace, settings.recovery_time), (Micros(30_000), Micros(100_000)));
 }
 
 #[test]
-fn what_is_missing_or_bad_is_told_with_its_place_and_a_remedy() {
+fn missing_or_invalid_setting_is_reported_with_its_path_and_a_remedy() {
     for path in [
         "requestClasses.0.effect",
         "requestClasses.0.windowMs",
@@ -53,7 +53,7 @@
         "contract.drainGraceMs",
         "contract.coldMs",
     ] {
-        let problem = with(path, None).unwrap_err();
+        let problem = with_value(path, None).unwrap_err();
         assert!(problem.contains(&format!("{path} is missing")) && problem.contains(": add it"), "{problem}");
     }
     for (path, value, remedy) in [
@@ -65,7 +65,7 @@
         ("domain.callsOut", "0", "allow 1 at least"),
         ("policyLimits.cancelling", "perhaps", "write true or false"),
     ] {
-        let problem = with(path, Some(value)).unwrap_err();
+        let problem = with_value(path, Some(value)).unwrap_err();
         assert!(problem.contains(path) && problem.contains(value) && problem.contains(remedy), "{problem}");
     }
 }
