--- a/src/directory.rs
+++ b/src/directory.rs
@@ -1,9 +1,9 @@
 //! Names of classes and tenants, with their indices in a process and their permanent numbers.
 //!
-//! An *index* points into the settings of the engine and of the dispatcher. It is assigned once in a process and never
-//! refers to another name. A name that leaves the configuration keeps its index, inactive, for the messages that are
-//! still held under it. A *number* identifies a name in the journal. It is never reused within a state folder,
-//! whatever the order of the lists in the configuration.
+//! An *index* points into the settings of the engine and of the dispatcher. It is assigned once in a process
+//! and never refers to another name. A name that leaves the configuration keeps its index, inactive, for the
+//! messages that are still held under it. A *number* identifies a name in the journal. It is never reused
+//! within a state folder, whatever the order of the lists in the configuration.
 //!
 //! Cost: one hash look-up for a name or a number; a configuration change costs the size of its lists.
 
@@ -142,13 +142,14 @@
 }
 
 impl Directory {
-    /// The index of a request's tenant. Where the configuration has no tenants, the index of the single unnamed one.
+    /// The index of a request's tenant. Where the configuration has no tenants, the index of the single
+    /// unnamed one.
     pub fn tenant_index(&self, name: Option<&str>) -> Option<usize> {
         self.tenants.active_index("").or_else(|| self.tenants.active_index(name?))
     }
 
-    /// Applies a configuration. Returns the dispatcher's settings, with a class and a quota at each index, and the new
-    /// names of classes and of tenants. An inactive class keeps its previous settings.
+    /// Applies a configuration. Returns the dispatcher's settings, with a class and a quota at each index,
+    /// and the new names of classes and of tenants. An inactive class keeps its previous settings.
     pub fn configure(
         &mut self,
         core: &Core,
@@ -188,8 +189,8 @@
     }
 }
 
-/// Settings of a class of which only the name is known: none of its messages is accepted, and those in the journal are
-/// ended.
+/// Settings of a class of which only the name is known: none of its messages is accepted, and those in the
+/// journal are ended.
 const REMOVED_CLASS: ClassSettings = ClassSettings {
     effect: crate::Effect::Unsafe,
     in_order: false,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
 //! A dispatcher that delivers messages to destinations outside of the process.
 //!
 //! A [`Dispatcher`] is sans-IO: it receives timestamped events and returns actions. It opens no connections,
-//! reads no clock and starts no threads, so that a forwarder can embed it in any event loop. The same settings,
-//! seed and events always produce the same actions.
+//! reads no clock and starts no threads, so that a forwarder can embed it in any event loop. The same
+//! settings, seed and events always produce the same actions.
 //!
-//! Attempts are spaced by the adaptive T1 timer of "High Load Diminution by Regulating Timers in SIP Servers". The
-//! code around it enforces six rules, from "one final outcome per message" to "nothing is sent during a retry-after".
+//! Attempts are spaced by the adaptive T1 timer of "High Load Diminution by Regulating Timers in SIP
+//! Servers". The code around it enforces six rules, from "one final outcome per message" to "nothing is sent
+//! during a retry-after".
 //!
 //! ```
 //! use cedarwharf::*;
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,5 +1,6 @@
-//! An endpoint's report of its limit, part of its answers: the share of its allowance that is left, and the calls per
-//! second that it accepts from all forwarders together. Anything that is not a valid pair of numbers is ignored.
+//! An endpoint's report of its limit, part of its answers: the share of its allowance that is left, and the
+//! calls per second that it accepts from all forwarders together. Anything that is not a valid pair of
+//! numbers is ignored.
 
 /// Name of the share that is left.
 const LEFT_NAME: &str = "x0";
@@ -24,7 +25,8 @@
         valid.then_some(Report { left, limit })
     }
 
-    /// Parses comma-separated `name=value` pairs; `None` where one of the two names is missing or occurs twice.
+    /// Parses comma-separated `name=value` pairs; `None` where one of the two names is missing or occurs
+    /// twice.
     pub fn parse(text: &str) -> Option<Report> {
         let number = |expected: &str| {
             let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the dispatcher's [`Settings`] from `path=value` pairs: lines of the simulator or the JSON of a configuration
-//! file. Unknown paths are ignored.
+//! Reads the dispatcher's [`Settings`] from `path=value` pairs: lines of the simulator or the JSON of a
+//! configuration file. Unknown paths are ignored.
 
 use crate::report::Report;
 use crate::tenancy::Isolation;
@@ -78,8 +78,8 @@
     Report::indices(names.split(','))
 }
 
-/// Isolation of tenants without explicit shares: each tenant's weight is its quota, or 1 for all tenants where a quota
-/// is zero.
+/// Isolation of tenants without explicit shares: each tenant's weight is its quota, or 1 for all tenants
+/// where a quota is zero.
 pub fn isolation_from_quotas(quotas: &[f64]) -> Vec<Isolation> {
     let all_positive = quotas.iter().all(|quota| *quota > 0.0);
     let weight = |&quota: &f64| if all_positive { quota } else { 1.0 };
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Valid settings whose names and values occur in no real deployment, so that no default can hide a parse error.
+/// Valid settings whose names and values occur in no real deployment, so that no default can hide a parse
+/// error.
 const VALID_SETTINGS: &str = "\
 requestClasses.count=2
 requestClasses.0.name=zz-one
--- a/src/tenancy/intake.rs
+++ b/src/tenancy/intake.rs
@@ -1,88 +1,99 @@
-//! Whether an offer is let in: its tenant's arrivals, and its parts of the messages and bytes held.
+//! Admission of submissions: checks the tenant's arrival rate and its shares of the held messages and bytes.
 //!
-//! Cost: O(1) an offer.
+//! Cost: O(1) per submission.
 
 use super::rate::ArrivalLimiter;
 use super::share::{bounds, ShareError, Shares};
 use super::{Isolation, ShareLimits};
 use crate::Micros;
 
-/// See the module's text.
+/// Admission state of all tenants: see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionControl {
     arrivals: ArrivalLimiter,
     held: Shares,
     bytes: Shares,
-    /// Until then what is given back is kept for those below their guarantees: one of them was refused.
+    /// Until then, released capacity is kept for tenants below their guarantees, because one of them was
+    /// rejected.
     claimed_until: Micros,
 }
 
-/// One that was refused comes again within this time.
-const CLAIM: Micros = Micros(2_000_000);
+/// A client that was rejected is expected to submit again within this time.
+const CLAIM_DURATION: Micros = Micros(2_000_000);
 
-/// Why an offer is not let in.
+/// The reason for which a submission is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionError {
-    /// Its tenant offers too fast; one would be let in after so long.
+    /// The tenant exceeds its arrival rate; the next submission would be admitted after this time.
     RateExceeded(Micros),
-    /// There is no room for its tenant.
+    /// There is no capacity for the tenant.
     NoCapacity(ShareError),
 }
 
 impl AdmissionControl {
-    /// Other bounds, by place: of messages held, and of their bytes.
+    /// Replaces the limits: the sizes of the two resources (held messages, bytes) and the shares by tenant
+    /// index.
     pub fn configure(&mut self, (held, bytes): (u64, u64), isolation: &[Isolation]) {
-        let told = |which: fn(&Isolation) -> ShareLimits| -> Vec<(f64, ShareLimits)> {
-            isolation.iter().map(|one| (one.weight, which(one))).collect()
+        let limits = |resource: fn(&Isolation) -> ShareLimits| -> Vec<(f64, ShareLimits)> {
+            isolation.iter().map(|one| (one.weight, resource(one))).collect()
         };
-        self.held.configure(held, &bounds(held, &told(|one| one.held)));
-        self.bytes.configure(bytes, &bounds(bytes, &told(|one| one.bytes)));
+        self.held.configure(held, &bounds(held, &limits(|one| one.held)));
+        self.bytes.configure(bytes, &bounds(bytes, &limits(|one| one.bytes)));
         self.arrivals.configure(isolation.iter().map(|one| one.arrivals).collect());
     }
 
-    /// Whether one of so many bytes may come in now, where there is room for anyone. Counted as an arrival where it may.
-    pub fn admit(&mut self, place: usize, bytes: u64, room: bool, now: Micros) -> Result<(), AdmissionError> {
-        let room = if room { Ok(()) } else { Err(ShareError::Exhausted) };
-        let asked =
-            room.and_then(|()| self.held.check(place, 1)).and_then(|()| self.bytes.check(place, bytes));
-        let own = self.held.is_below_guarantee(place) && self.bytes.is_below_guarantee(place);
-        match asked {
-            Ok(()) if !own && now < self.claimed_until => {
+    /// Admits a message of `bytes` or returns the reason against it; `has_capacity` is whether there is
+    /// capacity for any tenant. An admitted message counts as an arrival.
+    pub fn admit(
+        &mut self,
+        tenant: usize,
+        bytes: u64,
+        has_capacity: bool,
+        now: Micros,
+    ) -> Result<(), AdmissionError> {
+        let has_capacity = if has_capacity { Ok(()) } else { Err(ShareError::Exhausted) };
+        let checked = has_capacity
+            .and_then(|()| self.held.check(tenant, 1))
+            .and_then(|()| self.bytes.check(tenant, bytes));
+        let below_guarantee = self.held.is_below_guarantee(tenant) && self.bytes.is_below_guarantee(tenant);
+        match checked {
+            Ok(()) if !below_guarantee && now < self.claimed_until => {
                 return Err(AdmissionError::NoCapacity(ShareError::Reserved))
             }
             Ok(()) => {}
-            Err(refused) => {
-                // Lent to others: what they give back is the owner's before it is lent again.
-                if own && refused != ShareError::CeilingReached {
-                    self.claimed_until = now.plus(CLAIM);
+            Err(error) => {
+                // The tenant's guarantee is lent to others: what they release goes to the owner before it is
+                // lent again.
+                if below_guarantee && error != ShareError::CeilingReached {
+                    self.claimed_until = now.plus(CLAIM_DURATION);
                 }
-                return Err(AdmissionError::NoCapacity(refused));
+                return Err(AdmissionError::NoCapacity(error));
             }
         }
-        self.arrivals.admit(place, now).map_err(AdmissionError::RateExceeded)
+        self.arrivals.admit(tenant, now).map_err(AdmissionError::RateExceeded)
     }
 
-    /// One is held from now on.
-    pub fn add_message(&mut self, place: usize) {
-        self.held.acquire(place, 1);
+    /// Counts a message as held.
+    pub fn add_message(&mut self, tenant: usize) {
+        self.held.acquire(tenant, 1);
     }
 
-    /// One is held no longer; what is kept of it until its end is told still has bytes.
-    pub fn remove_message(&mut self, place: usize) {
-        self.held.release(place, 1);
+    /// Counts a message as no longer held. The bytes kept for it until its delivery report still count.
+    pub fn remove_message(&mut self, tenant: usize) {
+        self.held.release(tenant, 1);
     }
 
-    /// So many bytes more are kept.
-    pub fn add_bytes(&mut self, place: usize, bytes: u64) {
-        self.bytes.acquire(place, bytes);
+    /// Counts bytes as held.
+    pub fn add_bytes(&mut self, tenant: usize, bytes: u64) {
+        self.bytes.acquire(tenant, bytes);
     }
 
-    /// So many fewer.
-    pub fn release_bytes(&mut self, place: usize, bytes: u64) {
-        self.bytes.release(place, bytes);
+    /// Counts bytes as no longer held.
+    pub fn release_bytes(&mut self, tenant: usize, bytes: u64) {
+        self.bytes.release(tenant, bytes);
     }
 
-    /// Messages held, and their bytes.
+    /// The shares of held messages and of their bytes.
     pub fn shares(&self) -> (&Shares, &Shares) {
         (&self.held, &self.bytes)
     }
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -1,33 +1,35 @@
-//! What each tenant may use of what all share: guarantees, ceilings and reserves, arrivals a second, and whose message may
-//! take the next call slot. No I/O, no wire; tenants go by their places (see [`directory`](crate::directory)).
-//! `docs/tenancy-design.md` has the reasons.
+//! Isolation of tenants: guarantees, ceilings and reserves of shared resources, limits on the arrival rate,
+//! and the choice of the tenant whose message takes the next call slot. No I/O; tenants are identified by
+//! their indices (see [`directory`](crate::directory)). `docs/tenancy-design.md` has the reasons.
 
 pub mod gate;
 pub mod intake;
 pub mod rate;
 pub mod share;
 
-/// Bounds that an operator tells for one resource, in its unit; what is absent is parted by weight.
+/// Configured limits of a tenant's share of one resource, in the resource's unit. What has no limit is
+/// divided by weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShareLimits {
-    /// So much is a tenant's own.
+    /// The amount guaranteed to the tenant.
     pub guarantee: Option<u64>,
-    /// It never has more.
+    /// The most that the tenant may use.
     pub ceiling: Option<u64>,
 }
 
-/// What one tenant is told of its parts.
+/// One tenant's configured shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Isolation {
-    /// Its part of what is not told, beside the others' weights. Zero for one that is gone: nothing is kept for it.
+    /// Its weight among all tenants in the division of what is not guaranteed explicitly. Zero for a tenant
+    /// that was removed: nothing is reserved for it.
     pub weight: f64,
     /// Call slots.
     pub slots: ShareLimits,
-    /// Messages held.
+    /// Held messages.
     pub held: ShareLimits,
-    /// Bytes of messages held.
+    /// Bytes of held messages.
     pub bytes: ShareLimits,
-    /// Offers a second.
+    /// Submissions per second.
     pub arrivals: Option<rate::Rate>,
 }
 
@@ -44,7 +46,7 @@
 }
 
 impl Isolation {
-    /// One that is gone from the configuration.
+    /// The shares of a tenant that is no longer in the configuration.
     pub const REMOVED: Isolation = Isolation {
         weight: 0.0,
         slots: ShareLimits { guarantee: None, ceiling: None },
--- a/src/tenancy/share.rs
+++ b/src/tenancy/share.rs
@@ -1,53 +1,61 @@
-//! One resource of a certain size that tenants share. Each may use what is idle, but never what others have in reserve, and
-//! never more than its ceiling. A reserve is there at any time; the rest of a guarantee may be lent, and who is below its
-//! guarantee has it before others once it is given back (see [`gate`](super::gate) and [`intake`](super::intake)).
+//! A resource of fixed size that tenants share. Each tenant may use what is idle, but never the reserves of
+//! others, and never more than its ceiling. A reserve is available at any time. The rest of a guarantee may
+//! be lent; a tenant below its guarantee takes precedence over others once the borrowed amount is released
+//! (see [`gate`](super::gate) and [`intake`](super::intake)).
 //!
-//! Cost: a question, a use and its end O(1); a change of the settings O(tenants). 48 bytes a tenant.
+//! Cost: a check, an acquisition and a release O(1); a change of the settings O(tenants). 48 bytes per
+//! tenant.
 
 use super::ShareLimits;
 
-/// The part of a guarantee that is not lent: its owner starts at once when it returns.
-const RESERVED: f64 = 0.25;
+/// Fraction of a guarantee that is never lent, so that its owner can start at once after an idle time.
+const RESERVE_FRACTION: f64 = 0.25;
 
-/// What a tenant may use, in the resource's unit.
+/// The bounds of a tenant's use, in the resource's unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bounds {
-    /// So much is its own.
+    /// The amount guaranteed to the tenant.
     pub guarantee: u64,
-    /// It never has more.
+    /// The most that the tenant may use.
     pub ceiling: u64,
-    /// So much of its own is never lent, in thousandths of the unit.
+    /// The part of the guarantee that is never lent, in thousandths of the unit.
     pub reserve: u64,
 }
 
-/// Why a tenant may not have more just now.
+/// The reason for which a tenant cannot acquire more at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareError {
-    /// There is no room for anyone.
+    /// The resource is used up.
     Exhausted,
-    /// It has reached its ceiling.
+    /// The tenant would exceed its ceiling.
     CeilingReached,
-    /// What is left is kept for others.
+    /// The remainder is reserved for other tenants.
     Reserved,
 }
 
-/// Bounds where each tenant tells what it wants; what is not told is parted by weight among those who do not tell.
-/// One tenant alone has all of it.
-pub fn bounds(size: u64, told: &[(f64, ShareLimits)]) -> Vec<Bounds> {
-    let alone = told.iter().filter(|(weight, _)| *weight > 0.0).count() <= 1;
-    let taken: u64 = told.iter().filter_map(|(_, told)| told.guarantee).fold(0, u64::saturating_add);
-    let rest = size.saturating_sub(taken) as f64;
+/// Computes the bounds of all tenants from their weights and limits. What is not guaranteed explicitly is
+/// divided by weight among the tenants without an explicit guarantee. A single tenant gets the whole resource
+/// without a reserve.
+pub fn bounds(size: u64, limits: &[(f64, ShareLimits)]) -> Vec<Bounds> {
+    let single = limits.iter().filter(|(weight, _)| *weight > 0.0).count() <= 1;
+    let guaranteed: u64 =
+        limits.iter().filter_map(|(_, limits)| limits.guarantee).fold(0, u64::saturating_add);
+    let remaining = size.saturating_sub(guaranteed) as f64;
     let weights: f64 =
-        told.iter().filter(|(_, told)| told.guarantee.is_none()).map(|(weight, _)| weight).sum();
-    let one = |&(weight, told): &(f64, ShareLimits)| {
-        let part = if weights > 0.0 { rest * weight / weights } else { 0.0 };
-        let own = told.guarantee.map_or(part, |own| own as f64);
-        let ceiling = told.ceiling.unwrap_or(size).min(size);
-        let own = own.min(ceiling as f64);
-        let reserve = if alone && told.guarantee.is_none() { 0 } else { (own * RESERVED * 1000.0) as u64 };
-        Bounds { guarantee: own as u64, ceiling, reserve }
+        limits.iter().filter(|(_, limits)| limits.guarantee.is_none()).map(|(weight, _)| weight).sum();
+    let tenant_bounds = |&(weight, limits): &(f64, ShareLimits)| {
+        let by_weight = if weights > 0.0 { remaining * weight / weights } else { 0.0 };
+        let guarantee = limits.guarantee.map_or(by_weight, |explicit| explicit as f64);
+        let ceiling = limits.ceiling.unwrap_or(size).min(size);
+        let guarantee = guarantee.min(ceiling as f64);
+        let reserve = if single && limits.guarantee.is_none() {
+            0
+        } else {
+            (guarantee * RESERVE_FRACTION * 1000.0) as u64
+        };
+        Bounds { guarantee: guarantee as u64, ceiling, reserve }
     };
-    told.iter().map(one).collect()
+    limits.iter().map(tenant_bounds).collect()
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -57,91 +65,91 @@
 }
 
 impl Share {
-    /// What is still kept for it, in thousandths.
-    fn spare(&self) -> u64 {
+    /// The part of its reserve that is not in use, in thousandths.
+    fn unused_reserve(&self) -> u64 {
         self.bounds.reserve.saturating_sub(self.used.saturating_mul(1000))
     }
 }
 
-/// See the module's text.
+/// The shares of all tenants: see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     size: u64,
     used: u64,
-    /// What is kept for all together, in thousandths.
-    spare: u64,
-    of: Vec<Share>,
+    /// Sum of the unused reserves of all tenants, in thousandths.
+    unused_reserve: u64,
+    tenants: Vec<Share>,
 }
 
 impl Shares {
-    /// Other bounds, by place. Uses stay as they are, also above the new ones.
+    /// Replaces the bounds, by tenant index. Present uses stay, even above the new bounds.
     pub fn configure(&mut self, size: u64, bounds: &[Bounds]) {
         self.size = size;
-        self.of.resize(self.of.len().max(bounds.len()), Share::default());
-        for (place, share) in self.of.iter_mut().enumerate() {
-            share.bounds = bounds.get(place).copied().unwrap_or_default();
+        self.tenants.resize(self.tenants.len().max(bounds.len()), Share::default());
+        for (tenant, share) in self.tenants.iter_mut().enumerate() {
+            share.bounds = bounds.get(tenant).copied().unwrap_or_default();
         }
-        self.spare = self.of.iter().map(Share::spare).sum();
+        self.unused_reserve = self.tenants.iter().map(Share::unused_reserve).sum();
     }
 
-    /// Whether a tenant may have so much more.
-    pub fn check(&self, place: usize, more: u64) -> Result<(), ShareError> {
-        let share = self.of.get(place).copied().unwrap_or_default();
-        let (own, all) = (share.used.saturating_add(more), self.used.saturating_add(more));
-        if all > self.size {
+    /// Whether a tenant may acquire `more`.
+    pub fn check(&self, tenant: usize, more: u64) -> Result<(), ShareError> {
+        let share = self.tenants.get(tenant).copied().unwrap_or_default();
+        let (own, total) = (share.used.saturating_add(more), self.used.saturating_add(more));
+        if total > self.size {
             return Err(ShareError::Exhausted);
         }
         if own > share.bounds.ceiling {
             return Err(ShareError::CeilingReached);
         }
-        // What it takes of its own reserve is not kept from it.
-        let others = self.spare - share.spare();
-        if (self.size - all).saturating_mul(1000) >= others {
+        // A tenant's own reserve is available to it.
+        let reserved_for_others = self.unused_reserve - share.unused_reserve();
+        if (self.size - total).saturating_mul(1000) >= reserved_for_others {
             Ok(())
         } else {
             Err(ShareError::Reserved)
         }
     }
 
-    /// A tenant has so much more.
-    pub fn acquire(&mut self, place: usize, more: u64) {
-        self.change(place, |used| used + more);
+    /// Adds `more` to a tenant's use.
+    pub fn acquire(&mut self, tenant: usize, more: u64) {
+        self.change(tenant, |used| used + more);
     }
 
-    /// A tenant has so much less.
-    pub fn release(&mut self, place: usize, less: u64) {
-        debug_assert!(self.used(place) >= less, "tenant {place} gives back {less} of {}", self.used(place));
-        self.change(place, |used| used.saturating_sub(less));
+    /// Subtracts `less` from a tenant's use.
+    pub fn release(&mut self, tenant: usize, less: u64) {
+        debug_assert!(self.used(tenant) >= less, "tenant {tenant} releases {less} of {}", self.used(tenant));
+        self.change(tenant, |used| used.saturating_sub(less));
     }
 
-    fn change(&mut self, place: usize, to: impl FnOnce(u64) -> u64) {
-        if place >= self.of.len() {
-            self.of.resize(place + 1, Share::default());
+    fn change(&mut self, tenant: usize, update: impl FnOnce(u64) -> u64) {
+        if tenant >= self.tenants.len() {
+            self.tenants.resize(tenant + 1, Share::default());
         }
-        let share = &mut self.of[place];
+        let share = &mut self.tenants[tenant];
         self.used -= share.used;
-        self.spare -= share.spare();
-        share.used = to(share.used);
+        self.unused_reserve -= share.unused_reserve();
+        share.used = update(share.used);
         self.used += share.used;
-        self.spare += share.spare();
+        self.unused_reserve += share.unused_reserve();
     }
 
-    /// What a tenant has.
-    pub fn used(&self, place: usize) -> u64 {
-        self.of.get(place).map_or(0, |share| share.used)
+    /// The amount that a tenant uses.
+    pub fn used(&self, tenant: usize) -> u64 {
+        self.tenants.get(tenant).map_or(0, |share| share.used)
     }
 
-    /// What it may have.
-    pub fn bounds(&self, place: usize) -> Bounds {
-        self.of.get(place).map_or(Bounds::default(), |share| share.bounds)
+    /// A tenant's bounds.
+    pub fn bounds(&self, tenant: usize) -> Bounds {
+        self.tenants.get(tenant).map_or(Bounds::default(), |share| share.bounds)
     }
 
-    /// Whether it has less than its guarantee.
-    pub fn is_below_guarantee(&self, place: usize) -> bool {
-        self.of.get(place).is_some_and(|share| share.used < share.bounds.guarantee)
+    /// Whether a tenant uses less than its guarantee.
+    pub fn is_below_guarantee(&self, tenant: usize) -> bool {
+        self.tenants.get(tenant).is_some_and(|share| share.used < share.bounds.guarantee)
     }
 
-    /// What all have, and the size.
+    /// The amount that all tenants use, and the size of the resource.
     pub fn usage(&self) -> (u64, u64) {
         (self.used, self.size)
     }
--- a/src/tenancy/share/tests.rs
+++ b/src/tenancy/share/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn one_alone_has_all_and_of_two_none_gets_the_reserve_of_the_other() {
+fn single_tenant_gets_everything_and_one_of_two_never_gets_the_others_reserve() {
     let mut one = equal(10, 1);
     (0..10).for_each(|_| {
         one.check(0, 1).unwrap();
@@ -19,39 +19,39 @@
     while two.check(0, 1).is_ok() {
         two.acquire(0, 1);
     }
-    // Its own 20, and what is lent of the other's 20: all but a quarter.
+    // Its own guarantee of 20 and the part of the other's 20 that may be lent: all but a quarter.
     assert_eq!((two.used(0), two.check(0, 1)), (35, Err(ShareError::Reserved)));
     (0..5).for_each(|_| {
         two.check(1, 1).unwrap();
         two.acquire(1, 1);
     });
-    // What is lent beyond the reserve comes back with the end of a borrower's use, and the owner has it.
+    // What is lent beyond the reserve becomes available to its owner when the borrower releases it.
     assert_eq!(two.check(1, 1), Err(ShareError::Exhausted));
     two.release(0, 1);
     assert_eq!((two.check(0, 1), two.check(1, 1)), (Ok(()), Ok(())));
 }
 
 #[test]
-fn what_is_told_counts_before_what_is_parted_and_a_ceiling_binds() {
-    let told = ShareLimits { guarantee: Some(30), ceiling: Some(50) };
-    let parts = bounds(
+fn explicit_guarantees_precede_weights_and_the_ceiling_is_enforced() {
+    let limits = ShareLimits { guarantee: Some(30), ceiling: Some(50) };
+    let all_bounds = bounds(
         100,
         &[
-            (1.0, told),
+            (1.0, limits),
             (3.0, ShareLimits::default()),
             (1.0, ShareLimits::default()),
             (0.0, ShareLimits::default()),
         ],
     );
-    let own: Vec<u64> = parts.iter().map(|bounds| bounds.guarantee).collect();
-    assert_eq!(own, [30, 52, 17, 0]);
+    let guarantees: Vec<u64> = all_bounds.iter().map(|bounds| bounds.guarantee).collect();
+    assert_eq!(guarantees, [30, 52, 17, 0]);
     let mut shares = Shares::default();
-    shares.configure(100, &parts);
+    shares.configure(100, &all_bounds);
     while shares.check(0, 1).is_ok() {
         shares.acquire(0, 1);
     }
     assert_eq!((shares.used(0), shares.check(0, 1)), (50, Err(ShareError::CeilingReached)));
-    // Lowered under what is held: nothing is taken away, nothing more is given.
+    // A ceiling below the present use revokes nothing and admits nothing more.
     shares.configure(
         40,
         &bounds(
@@ -65,33 +65,34 @@
 }
 
 proptest! {
-    /// Whatever the others borrow, each can have its reserve at any time, and the sums kept are the sums.
+    /// Whatever others borrow, each tenant can acquire its reserve at any time, and the cached sums are
+    /// correct.
     #[test]
-    fn a_reserve_is_there_at_any_time(
+    fn reserve_is_available_at_any_time(
         size in 1u64..2000,
-        told in proptest::collection::vec((0.1f64..9.0, proptest::option::of(0u64..50)), 2..12),
-        deeds in proptest::collection::vec((0usize..12, 1u64..40, any::<bool>()), 1..200),
+        limits in proptest::collection::vec((0.1f64..9.0, proptest::option::of(0u64..50)), 2..12),
+        operations in proptest::collection::vec((0usize..12, 1u64..40, any::<bool>()), 1..200),
     ) {
-        let told: Vec<_> =
-            told.into_iter().map(|(weight, ceiling)| (weight, ShareLimits { guarantee: None, ceiling })).collect();
+        let limits: Vec<_> =
+            limits.into_iter().map(|(weight, ceiling)| (weight, ShareLimits { guarantee: None, ceiling })).collect();
         let mut shares = Shares::default();
-        shares.configure(size, &bounds(size, &told));
-        for (place, amount, takes) in deeds {
-            let place = place % told.len();
-            if takes && shares.check(place, amount).is_ok() {
-                shares.acquire(place, amount);
-            } else if !takes {
-                shares.release(place, amount.min(shares.used(place)));
+        shares.configure(size, &bounds(size, &limits));
+        for (tenant, amount, acquire) in operations {
+            let tenant = tenant % limits.len();
+            if acquire && shares.check(tenant, amount).is_ok() {
+                shares.acquire(tenant, amount);
+            } else if !acquire {
+                shares.release(tenant, amount.min(shares.used(tenant)));
             }
-            let used: u64 = shares.of.iter().map(|share| share.used).sum();
-            let spare: u64 = shares.of.iter().map(Share::spare).sum();
-            prop_assert_eq!((used, spare), (shares.used, shares.spare));
+            let used: u64 = shares.tenants.iter().map(|share| share.used).sum();
+            let unused_reserve: u64 = shares.tenants.iter().map(Share::unused_reserve).sum();
+            prop_assert_eq!((used, unused_reserve), (shares.used, shares.unused_reserve));
             prop_assert!(used <= size);
-            for (place, share) in shares.of.iter().enumerate() {
+            for (tenant, share) in shares.tenants.iter().enumerate() {
                 prop_assert!(share.used <= share.bounds.ceiling);
-                let own = share.bounds.reserve / 1000;
-                if share.used < own {
-                    prop_assert!(shares.check(place, 1).is_ok(), "place {place}: {shares:?}");
+                let reserve = share.bounds.reserve / 1000;
+                if share.used < reserve {
+                    prop_assert!(shares.check(tenant, 1).is_ok(), "tenant {tenant}: {shares:?}");
                 }
             }
         }
--- a/src/waiting.rs
+++ b/src/waiting.rs
@@ -1,15 +1,16 @@
-//! Where the messages that wait stand: by when each must be looked at, by destination and class, and destinations by
-//! when they open and by what is best there. Nothing here decides; it keeps the walks off the path of a turn.
+//! Indexes over the waiting messages: by the time at which each is due for a final outcome, and by
+//! destination, class and tenant. Destinations are indexed by the time at which they open and by the best
+//! message for them. The module takes no decisions; it saves the loop iteration from scanning all messages.
 //!
-//! Cost: putting a message in and taking it out, a handful of look-ups in ordered sets; the destinations that are ranked
-//! anew in a turn are those that something happened to, and a bounded number of others.
+//! Cost: inserting and removing a message takes a few operations on ordered sets. Each loop iteration ranks
+//! the destinations that have changed and a bounded number of others.
 
 use crate::interface::*;
 use crate::tenancy::gate::FairScheduler;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a message stands.
+/// The properties by which a waiting message is indexed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitingMessage {
     pub destination: DestinationId,
@@ -17,65 +18,67 @@
     pub tenant: usize,
     pub target_time: Micros,
     pub deadline: Micros,
-    /// When it must be looked at for its final answer.
+    /// When the message is due for a decision on its final outcome.
     pub ends_at: Micros,
-    /// It pauses until then.
+    /// End of the message's backoff.
     pub ready_at: Micros,
-    /// It has its turn among those of its key only.
+    /// The message has an order key and becomes ready only in the order of its key.
     pub ordered: bool,
-    /// A start found it, and it has not been tried.
+    /// The message was recovered at a start and has not been attempted.
     pub recovered: bool,
 }
 
-/// Messages of one destination and one class.
+/// Ready messages of one destination, class and tenant.
 #[derive(Default)]
-struct Line {
-    by_aim: BTreeSet<(Micros, MessageId)>,
+struct ReadyQueue {
+    by_target_time: BTreeSet<(Micros, MessageId)>,
     by_deadline: BTreeSet<(Micros, MessageId)>,
     by_id: BTreeMap<MessageId, Micros>,
 }
 
-/// Messages looked at for the one of the lowest number that is not late yet: equals go by their numbers.
-const EQUALS: usize = 16;
+/// Messages inspected in the order of their ids to find the lowest one that is not late yet: messages of
+/// equal worth are sent in the order of their ids.
+const MAX_ID_SCAN: usize = 16;
 
-impl Line {
-    fn put(&mut self, id: MessageId, spot: &WaitingMessage) {
-        self.by_aim.insert((spot.target_time, id));
-        self.by_deadline.insert((spot.deadline, id));
-        self.by_id.insert(id, spot.target_time);
+impl ReadyQueue {
+    fn insert(&mut self, id: MessageId, message: &WaitingMessage) {
+        self.by_target_time.insert((message.target_time, id));
+        self.by_deadline.insert((message.deadline, id));
+        self.by_id.insert(id, message.target_time);
     }
 
-    /// Tells whether it is empty then.
-    fn take(&mut self, id: MessageId, spot: &WaitingMessage) -> bool {
-        self.by_aim.remove(&(spot.target_time, id));
-        self.by_deadline.remove(&(spot.deadline, id));
+    /// Returns whether the queue is empty afterwards.
+    fn remove(&mut self, id: MessageId, message: &WaitingMessage) -> bool {
+        self.by_target_time.remove(&(message.target_time, id));
+        self.by_deadline.remove(&(message.deadline, id));
         self.by_id.remove(&id);
-        self.by_aim.is_empty()
+        self.by_target_time.is_empty()
     }
 }
 
-/// A destination with a figure, the message that it is of, and when it was taken.
+/// A destination, its best message, and when the destination was ranked.
 pub type Ranked = (DestinationId, MessageId, Micros);
 
-/// For each tenant, destinations by a figure of each; and all by when it was last taken.
+/// For each tenant, the destinations ordered by a score; and all destinations by the time of their last
+/// ranking.
 #[derive(Default)]
 pub struct Ranking {
-    of: BTreeMap<(DestinationId, usize), (u64, MessageId, Micros)>,
+    scores: BTreeMap<(DestinationId, usize), (u64, MessageId, Micros)>,
     order: BTreeMap<usize, BTreeSet<(u64, Reverse<MessageId>, DestinationId)>>,
     by_age: BTreeSet<(Micros, DestinationId, usize)>,
 }
 
 impl Ranking {
-    /// The destination's figures, not negative, and the messages that they are of, one a tenant; no others stay.
+    /// Replaces a destination's scores (not negative) and the messages that they belong to, one per tenant.
     pub fn set(
         &mut self,
         destination: DestinationId,
         best: impl IntoIterator<Item = (usize, (f64, MessageId))>,
         now: Micros,
     ) {
-        let known = self.of.range((destination, 0)..=(destination, usize::MAX));
-        for ((_, tenant), (bits, id, at)) in known.map(|(key, told)| (*key, *told)).collect::<Vec<_>>() {
-            self.of.remove(&(destination, tenant));
+        let previous = self.scores.range((destination, 0)..=(destination, usize::MAX));
+        for ((_, tenant), (bits, id, at)) in previous.map(|(key, score)| (*key, *score)).collect::<Vec<_>>() {
+            self.scores.remove(&(destination, tenant));
             self.by_age.remove(&(at, destination, tenant));
             if let Some(order) = self.order.get_mut(&tenant) {
                 order.remove(&(bits, Reverse(id), destination));
@@ -84,155 +87,160 @@
                 }
             }
         }
-        for (tenant, (figure, id)) in best {
-            // Bits of numbers that are not negative are in the order of the numbers.
-            let bits = figure.max(0.0).to_bits();
-            self.of.insert((destination, tenant), (bits, id, now));
+        for (tenant, (score, id)) in best {
+            // The bit patterns of non-negative floats have the same order as the floats.
+            let bits = score.max(0.0).to_bits();
+            self.scores.insert((destination, tenant), (bits, id, now));
             self.order.entry(tenant).or_default().insert((bits, Reverse(id), destination));
             self.by_age.insert((now, destination, tenant));
         }
     }
 
-    /// Tenants that have a figure anywhere.
+    /// Tenants that have a score at any destination.
     pub fn tenants(&self) -> impl Iterator<Item = usize> + Clone + '_ {
         self.order.keys().copied()
     }
 
-    /// The highest figure of some tenants; of equals, the oldest message.
-    pub fn highest(&self, of: impl Fn(usize) -> bool) -> Option<Ranked> {
-        let tops = self.order.iter().filter(|(tenant, _)| of(**tenant));
+    /// The highest score of the tenants that pass `filter`; of equal scores, the oldest message.
+    pub fn highest(&self, filter: impl Fn(usize) -> bool) -> Option<Ranked> {
+        let tops = self.order.iter().filter(|(tenant, _)| filter(**tenant));
         let (top, tenant) = tops.filter_map(|(&tenant, order)| Some((order.last()?, tenant))).max()?;
-        self.at((top.2, tenant))
+        self.ranked((top.2, tenant))
     }
 
-    fn at(&self, key: (DestinationId, usize)) -> Option<Ranked> {
-        self.of.get(&key).map(|&(_, id, at)| (key.0, id, at))
+    fn ranked(&self, key: (DestinationId, usize)) -> Option<Ranked> {
+        self.scores.get(&key).map(|&(_, id, at)| (key.0, id, at))
     }
 
-    /// All, where there are few; else some whose figures are oldest.
-    pub fn stalest(&self, (few, some): (usize, usize)) -> impl Iterator<Item = DestinationId> + '_ {
-        let most = if self.of.len() <= few { few } else { some };
+    /// The destinations with the oldest scores: all of them while there are at most `all_up_to`, else `some`.
+    pub fn stalest(&self, (all_up_to, some): (usize, usize)) -> impl Iterator<Item = DestinationId> + '_ {
+        let most = if self.scores.len() <= all_up_to { all_up_to } else { some };
         self.by_age.iter().take(most).map(|&(_, destination, _)| destination)
     }
 }
 
-/// See the module's text.
+/// All waiting messages: see the module documentation.
 #[derive(Default)]
 pub struct WaitingMessages {
-    spots: BTreeMap<MessageId, WaitingMessage>,
-    ends: BTreeSet<(Micros, MessageId)>,
-    resting: BTreeSet<(Micros, MessageId)>,
+    messages: BTreeMap<MessageId, WaitingMessage>,
+    outcome_due: BTreeSet<(Micros, MessageId)>,
+    in_backoff: BTreeSet<(Micros, MessageId)>,
     pub ordered: BTreeSet<MessageId>,
-    ready: BTreeMap<DestinationId, BTreeMap<(usize, usize), Line>>,
-    /// Those that a start found untried, ready to go, by what is left of their time.
-    found: BTreeMap<(DestinationId, usize), BTreeSet<(Micros, MessageId)>>,
-    /// When a destination that is not open is looked at again.
-    opens: BTreeMap<DestinationId, Micros>,
+    ready: BTreeMap<DestinationId, BTreeMap<(usize, usize), ReadyQueue>>,
+    /// Recovered messages without an attempt that are ready to be sent, by deadline.
+    recovered: BTreeMap<(DestinationId, usize), BTreeSet<(Micros, MessageId)>>,
+    /// When a destination that is not open is ranked again.
+    opens_at: BTreeMap<DestinationId, Micros>,
     openings: BTreeSet<(Micros, DestinationId)>,
-    /// Open destinations by what gains most there by going now.
+    /// Open destinations by the message that gains most from being sent now.
     pub ranking: Ranking,
-    /// Something happened there since the last look.
-    stirred: BTreeSet<DestinationId>,
+    /// Destinations that changed since the last ranking.
+    changed: BTreeSet<DestinationId>,
 }
 
 impl WaitingMessages {
-    /// A message waits from now on.
-    pub fn insert(&mut self, id: MessageId, spot: WaitingMessage, now: Micros) {
+    /// Adds a waiting message, or replaces it.
+    pub fn insert(&mut self, id: MessageId, message: WaitingMessage, now: Micros) {
         self.remove(id);
-        self.ends.insert((spot.ends_at, id));
-        self.spots.insert(id, spot);
-        if spot.ordered {
+        self.outcome_due.insert((message.ends_at, id));
+        self.messages.insert(id, message);
+        if message.ordered {
             self.ordered.insert(id);
-        } else if spot.ready_at > now {
-            self.resting.insert((spot.ready_at, id));
+        } else if message.ready_at > now {
+            self.in_backoff.insert((message.ready_at, id));
         } else {
-            self.line_up(id, &spot);
+            self.make_ready(id, &message);
         }
     }
 
-    fn line_up(&mut self, id: MessageId, spot: &WaitingMessage) {
-        let classes = self.ready.entry(spot.destination).or_default();
-        classes.entry((spot.class, spot.tenant)).or_default().put(id, spot);
-        if spot.recovered {
-            self.found.entry((spot.destination, spot.tenant)).or_default().insert((spot.deadline, id));
+    fn make_ready(&mut self, id: MessageId, message: &WaitingMessage) {
+        let classes = self.ready.entry(message.destination).or_default();
+        classes.entry((message.class, message.tenant)).or_default().insert(id, message);
+        if message.recovered {
+            self.recovered
+                .entry((message.destination, message.tenant))
+                .or_default()
+                .insert((message.deadline, id));
         }
-        self.stirred.insert(spot.destination);
+        self.changed.insert(message.destination);
     }
 
-    /// A message is not ready to go any more.
-    fn step_out(&mut self, id: MessageId, spot: &WaitingMessage) {
-        remove(&mut self.ready, (spot.class, spot.tenant), id, spot);
-        let key = (spot.destination, spot.tenant);
-        if let Some(found) = self.found.get_mut(&key).filter(|_| spot.recovered) {
-            found.remove(&(spot.deadline, id));
-            if found.is_empty() {
-                self.found.remove(&key);
+    /// Removes a message from the ready ones.
+    fn make_unready(&mut self, id: MessageId, message: &WaitingMessage) {
+        remove(&mut self.ready, (message.class, message.tenant), id, message);
+        let key = (message.destination, message.tenant);
+        if let Some(recovered) = self.recovered.get_mut(&key).filter(|_| message.recovered) {
+            recovered.remove(&(message.deadline, id));
+            if recovered.is_empty() {
+                self.recovered.remove(&key);
             }
         }
     }
 
-    /// Of what a start found untried and is ready to go, the one with the least time left, and its deadline.
+    /// The recovered, unattempted and ready message with the earliest deadline, except those in `excluded`;
+    /// and its deadline.
     pub fn first_recovered(
         &self,
         destination: DestinationId,
         tenant: usize,
-        aside: &BTreeSet<MessageId>,
+        excluded: &BTreeSet<MessageId>,
     ) -> Option<(MessageId, Micros)> {
-        let found = self.found.get(&(destination, tenant))?;
-        found.iter().find(|(_, id)| !aside.contains(id)).map(|&(deadline, id)| (id, deadline))
+        let recovered = self.recovered.get(&(destination, tenant))?;
+        recovered.iter().find(|(_, id)| !excluded.contains(id)).map(|&(deadline, id)| (id, deadline))
     }
 
-    /// What a start found untried and is ready to go to a destination, of all tenants.
+    /// The recovered, unattempted and ready messages for a destination, of all tenants.
     pub fn recovered_of(&self, destination: DestinationId) -> impl Iterator<Item = MessageId> + '_ {
-        let found = self.found.range((destination, 0)..=(destination, usize::MAX));
-        found.flat_map(|(_, found)| found.iter().map(|&(_, id)| id))
+        let recovered = self.recovered.range((destination, 0)..=(destination, usize::MAX));
+        recovered.flat_map(|(_, recovered)| recovered.iter().map(|&(_, id)| id))
     }
 
-    /// A message waits no longer.
+    /// Removes a message.
     pub fn remove(&mut self, id: MessageId) {
-        let Some(spot) = self.spots.remove(&id) else { return };
-        self.ends.remove(&(spot.ends_at, id));
-        self.resting.remove(&(spot.ready_at, id));
+        let Some(message) = self.messages.remove(&id) else { return };
+        self.outcome_due.remove(&(message.ends_at, id));
+        self.in_backoff.remove(&(message.ready_at, id));
         self.ordered.remove(&id);
-        self.step_out(id, &spot);
+        self.make_unready(id, &message);
     }
 
-    /// One of a key has its turn, or no longer.
+    /// Marks a message with an order key as the next of its key (ready), or no longer so.
     pub fn set_key_turn(&mut self, id: MessageId, turn: bool) {
-        let Some(spot) = self.spots.get(&id).copied() else { return };
+        let Some(message) = self.messages.get(&id).copied() else { return };
         if turn {
-            self.line_up(id, &spot);
+            self.make_ready(id, &message);
         } else {
-            self.step_out(id, &spot);
+            self.make_unready(id, &message);
         }
     }
 
-    /// Pauses that are over.
+    /// Makes the messages ready whose backoff has ended.
     pub fn end_backoffs(&mut self, now: Micros) {
-        while let Some(&(at, id)) = self.resting.first().filter(|(at, _)| *at <= now) {
-            self.resting.remove(&(at, id));
-            if let Some(spot) = self.spots.get(&id).copied() {
-                self.line_up(id, &spot);
+        while let Some(&(at, id)) = self.in_backoff.first().filter(|(at, _)| *at <= now) {
+            self.in_backoff.remove(&(at, id));
+            if let Some(message) = self.messages.get(&id).copied() {
+                self.make_ready(id, &message);
             }
         }
     }
 
-    /// Those that must be looked at for their final answers.
+    /// Messages that are due for a decision on their final outcome, in the order of their ids.
     pub fn due_for_outcome(&self, now: Micros) -> Vec<MessageId> {
-        let due = self.ends.iter().take_while(|(at, _)| *at <= now);
+        let due = self.outcome_due.iter().take_while(|(at, _)| *at <= now);
         let mut due: Vec<MessageId> = due.map(|&(_, id)| id).collect();
         due.sort_unstable();
         due
     }
 
-    /// Something happened at a destination.
+    /// Records that a destination has changed, so that it is ranked again.
     pub fn mark_changed(&mut self, destination: DestinationId) {
-        self.stirred.insert(destination);
+        self.changed.insert(destination);
     }
 
-    /// Destinations to look at: where something happened, those that may open, and some that were ranked long ago.
+    /// Takes the destinations to rank: the changed ones, those whose opening time has come, and some with old
+    /// scores.
     pub fn destinations_to_rank(&mut self, now: Micros, most: (usize, usize)) -> Vec<DestinationId> {
-        let mut all = std::mem::take(&mut self.stirred);
+        let mut all = std::mem::take(&mut self.changed);
         let due: Vec<_> = self.openings.iter().take_while(|(at, _)| *at <= now).copied().collect();
         for (_, destination) in due {
             self.set_opening(destination, None);
@@ -242,89 +250,95 @@
         all.into_iter().collect()
     }
 
-    /// When a destination is looked at again; none takes it out.
+    /// Sets the time at which a destination is ranked again; `None` removes it.
     pub fn set_opening(&mut self, destination: DestinationId, at: Option<Micros>) {
-        if let Some(known) = self.opens.remove(&destination) {
-            self.openings.remove(&(known, destination));
+        if let Some(previous) = self.opens_at.remove(&destination) {
+            self.openings.remove(&(previous, destination));
         }
         if let Some(at) = at {
-            self.opens.insert(destination, at);
+            self.opens_at.insert(destination, at);
             self.openings.insert((at, destination));
         }
     }
 
-    /// The messages of a destination, by class, of which one gains most by going now: about each bend of what a message
-    /// loses by waiting. At `at` one that goes now is there, at `later` one that waits.
+    /// Messages of a destination, with their classes, that are sure to include the one that gains most from
+    /// being sent now: the neighbours of each bend in the loss of worth by waiting. A message sent now
+    /// arrives at `at`, one that waits at `later`.
     pub fn candidates(
         &self,
         destination: DestinationId,
         (at, later): (Micros, Micros),
-        aside: &BTreeSet<MessageId>,
+        excluded: &BTreeSet<MessageId>,
     ) -> Vec<(usize, MessageId)> {
-        let mut found = Vec::new();
-        let usable = |&&(_, id): &&(Micros, MessageId)| !aside.contains(&id);
-        for (&(class, _), line) in self.ready.get(&destination).into_iter().flatten() {
+        let mut candidates = Vec::new();
+        let usable = |&&(_, id): &&(Micros, MessageId)| !excluded.contains(&id);
+        for (&(class, _), queue) in self.ready.get(&destination).into_iter().flatten() {
             let least = MessageId(0);
-            let nearest = line.by_aim.range((at, least)..).find(usable);
-            let latest = line.by_aim.range(..(at, least)).rev().find(usable);
-            let ending = line.by_deadline.range(..=(later, MessageId(u32::MAX))).rev().find(usable);
-            let mut lowest = line.by_id.iter().take(EQUALS);
-            let equal = lowest.find(|(id, aim)| **aim >= later && !aside.contains(id));
-            found.extend([nearest, latest, ending].into_iter().flatten().map(|&(_, id)| (class, id)));
-            found.extend(equal.map(|(&id, _)| (class, id)));
+            let nearest = queue.by_target_time.range((at, least)..).find(usable);
+            let latest = queue.by_target_time.range(..(at, least)).rev().find(usable);
+            let ending = queue.by_deadline.range(..=(later, MessageId(u32::MAX))).rev().find(usable);
+            let mut lowest = queue.by_id.iter().take(MAX_ID_SCAN);
+            let equal = lowest.find(|(id, target_time)| **target_time >= later && !excluded.contains(id));
+            candidates.extend([nearest, latest, ending].into_iter().flatten().map(|&(_, id)| (class, id)));
+            candidates.extend(equal.map(|(&id, _)| (class, id)));
         }
-        found
+        candidates
     }
 
-    /// Whether a message is ready to go there.
+    /// Whether a message for the destination is ready to be sent.
     pub fn has_ready(&self, destination: DestinationId) -> bool {
         self.ready.contains_key(&destination)
     }
 
-    /// The messages that wait for a destination that nothing may be sent to.
+    /// All waiting messages for a destination. Used for destinations to which nothing may be sent.
     pub fn ids_of(&self, destination: DestinationId) -> Vec<MessageId> {
-        self.spots.iter().filter(|(_, spot)| spot.destination == destination).map(|(&id, _)| id).collect()
+        self.messages
+            .iter()
+            .filter(|(_, message)| message.destination == destination)
+            .map(|(&id, _)| id)
+            .collect()
     }
 
-    /// The next messages from one on, so many at most.
+    /// At most `most` messages in the order of their ids, starting at `id`.
     pub fn ids_from(&self, id: MessageId, most: usize) -> Vec<MessageId> {
-        self.spots.range(id..).take(most).map(|(&id, _)| id).collect()
+        self.messages.range(id..).take(most).map(|(&id, _)| id).collect()
     }
 
-    /// What goes next, of those whose turn the gate says it is.
-    pub fn next_message(&self, gate: &mut FairScheduler) -> Option<Ranked> {
-        let open = gate.eligibility(self.ranking.tenants());
-        self.ranking.highest(|tenant| gate.is_eligible(tenant, open))
+    /// The next message to send, among the tenants that the fair scheduler makes eligible.
+    pub fn next_message(&self, scheduler: &mut FairScheduler) -> Option<Ranked> {
+        let eligibility = scheduler.eligibility(self.ranking.tenants());
+        self.ranking.highest(|tenant| scheduler.is_eligible(tenant, eligibility))
     }
 
-    /// Tenants with a message that could go, but for their share of the slots.
-    pub fn blocked_tenants(&self, gate: &FairScheduler) -> Vec<usize> {
-        self.ranking.tenants().filter(|&tenant| !gate.has_share(tenant)).collect()
+    /// Tenants with a message that could be sent if their share of the slots allowed it.
+    pub fn blocked_tenants(&self, scheduler: &FairScheduler) -> Vec<usize> {
+        self.ranking.tenants().filter(|&tenant| !scheduler.has_share(tenant)).collect()
     }
 
-    /// When something is due: a final answer; and, where there is room for a call, a send.
-    pub fn next_due(&self, gate: &FairScheduler) -> (Option<Micros>, Option<Micros>) {
-        let stirred = || self.stirred.iter().any(|destination| self.ready.contains_key(destination));
-        // Who waits for a slot of its own is called by the end of a call.
-        let now =
-            (self.ranking.tenants().any(|tenant| gate.has_share(tenant)) || stirred()).then_some(Micros(0));
+    /// When the next decision on a final outcome is due, and when the next send is, provided that a slot is
+    /// free.
+    pub fn next_due(&self, scheduler: &FairScheduler) -> (Option<Micros>, Option<Micros>) {
+        let changed = || self.changed.iter().any(|destination| self.ready.contains_key(destination));
+        // A tenant that waits for a slot of its share is woken by the end of a call.
+        let now = (self.ranking.tenants().any(|tenant| scheduler.has_share(tenant)) || changed())
+            .then_some(Micros(0));
         let openings = self.openings.first().map(|&(at, _)| at);
-        let resting = self.resting.first().map(|&(at, _)| at);
-        (self.ends.first().map(|&(at, _)| at), [now, openings, resting].into_iter().flatten().min())
+        let in_backoff = self.in_backoff.first().map(|&(at, _)| at);
+        (self.outcome_due.first().map(|&(at, _)| at), [now, openings, in_backoff].into_iter().flatten().min())
     }
 }
 
 fn remove<K: Ord + Copy>(
-    lines: &mut BTreeMap<DestinationId, BTreeMap<K, Line>>,
+    ready: &mut BTreeMap<DestinationId, BTreeMap<K, ReadyQueue>>,
     key: K,
     id: MessageId,
-    spot: &WaitingMessage,
+    message: &WaitingMessage,
 ) {
-    let Some(keys) = lines.get_mut(&spot.destination) else { return };
-    if keys.get_mut(&key).is_some_and(|line| line.take(id, spot)) {
+    let Some(keys) = ready.get_mut(&message.destination) else { return };
+    if keys.get_mut(&key).is_some_and(|queue| queue.remove(id, message)) {
         keys.remove(&key);
         if keys.is_empty() {
-            lines.remove(&spot.destination);
+            ready.remove(&message.destination);
         }
     }
 }
