--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -7,7 +7,7 @@
 use super::secret::{hex, Secret, SecretFiles, SecretText, REDACTED};
 use crate::net::list::Names;
 use crate::tenancy::rate::Rate;
-use crate::tenancy::{Isolation, Told};
+use crate::tenancy::{Isolation, ShareLimits};
 use crate::{ClassSettings, Effect, KeyScope, Micros, Settings};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -93,7 +93,7 @@
 }
 
 /// Default rate limit of requests with a tenant's token: more than people and scripts need.
-const DEFAULT_TENANT_REQUESTS: Rate = Rate { a_second: 50.0, burst: 100 };
+const DEFAULT_TENANT_REQUESTS: Rate = Rate { per_second: 50.0, burst: 100 };
 
 /// A bearer token of the administration API.
 #[derive(Clone, Debug, PartialEq)]
@@ -254,7 +254,7 @@
         out.put("discovery", self.discovery);
         let settings = &self.core.settings;
         out.put("limits.slots", settings.slots);
-        out.put("limits.held_messages", settings.max_open);
+        out.put("limits.held_messages", settings.max_messages);
         if let Some(bytes) = self.core.held_bytes {
             out.put("limits.held_mb", bytes as f64 / 1e6);
         }
@@ -275,7 +275,7 @@
                     out.put(at("window_ms"), window.as_ms());
                 }
             }
-            out.put(at("aim_ms"), class.aim.as_ms());
+            out.put(at("aim_ms"), class.target_time.as_ms());
             out.put(at("deadline_ms"), class.deadline.as_ms());
             out.put(at("worth"), class.worth);
             out.put(at("late_share"), class.late_share);
@@ -295,7 +295,7 @@
                 part.ceiling.iter().for_each(|most| out.put(at(&format!("{key}.ceiling")), most / unit));
             }
             if let Some(rate) = isolation.arrivals {
-                out.put(at("arrivals.per_s"), rate.a_second);
+                out.put(at("arrivals.per_s"), rate.per_second);
                 out.put(at("arrivals.burst"), rate.burst);
             }
         }
@@ -303,7 +303,7 @@
         // different ones have different digests.
         let rest = Settings { classes: Vec::new(), tenants: Vec::new(), ..settings.clone() };
         let rest = Settings { isolation: Vec::new(), ..rest };
-        let rest = Settings { slots: 0, max_open: 0, max_attempts: 0, ..rest };
+        let rest = Settings { slots: 0, max_messages: 0, max_attempts: 0, ..rest };
         let (connection_idle, max_retry_after) = (Micros(0), Micros(0));
         let rest = Settings { connection_idle, max_retry_after, ..rest };
         out.put("platform", hex(&Sha256::digest(format!("{rest:?} {:?}", self.names)))[..16].to_owned());
@@ -341,7 +341,7 @@
         for token in &self.tokens {
             out.hide(format!("admin.tokens[{}].token", token.name), &token.token);
             if let Some(rate) = token.requests {
-                out.put(format!("admin.tokens[{}].requests.per_s", token.name), rate.a_second);
+                out.put(format!("admin.tokens[{}].requests.per_s", token.name), rate.per_second);
                 out.put(format!("admin.tokens[{}].requests.burst", token.name), rate.burst);
             }
             if let Some(tenant) = &token.tenant {
@@ -358,7 +358,7 @@
         let bound = |field: fn(&document::Share) -> Option<u32>| {
             share.as_ref().and_then(field).map(|bound| u64::from(bound) * unit)
         };
-        Told { guarantee: bound(|share| share.guarantee), ceiling: bound(|share| share.ceiling) }
+        ShareLimits { guarantee: bound(|share| share.guarantee), ceiling: bound(|share| share.ceiling) }
     };
     Isolation {
         weight: tenant.weight.unwrap_or(1.0),
@@ -371,7 +371,7 @@
 
 fn rate(arrivals: &document::Arrivals) -> Rate {
     let burst = arrivals.burst.unwrap_or(arrivals.per_s.ceil().min(f64::from(u32::MAX)) as u32);
-    Rate { a_second: arrivals.per_s, burst: burst.max(1) }
+    Rate { per_second: arrivals.per_s, burst: burst.max(1) }
 }
 
 /// Reports guarantees whose sum exceeds `size`, and ceilings below their guarantees.
@@ -433,7 +433,7 @@
         (base.sockets, base.disk, base.dial_timeout, None);
     if let Some(limits) = &document.limits {
         settings.slots = limits.slots.unwrap_or(settings.slots);
-        settings.max_open = limits.held_messages.unwrap_or(settings.max_open);
+        settings.max_messages = limits.held_messages.unwrap_or(settings.max_messages);
         settings.max_attempts = limits.max_attempts.unwrap_or(settings.max_attempts);
         settings.connection_idle = limits.server_idle_ms.map_or(settings.connection_idle, Micros::from_ms);
         settings.max_retry_after =
@@ -452,9 +452,13 @@
                 format!("allow {needed} descriptors, or fewer slots"),
             ));
         }
-        if (limits.slots.is_some() || limits.held_messages.is_some()) && settings.slots > settings.max_open {
-            let what =
-                format!("{} slots exceed the limit of {} held messages", settings.slots, settings.max_open);
+        if (limits.slots.is_some() || limits.held_messages.is_some())
+            && settings.slots > settings.max_messages
+        {
+            let what = format!(
+                "{} slots exceed the limit of {} held messages",
+                settings.slots, settings.max_messages
+            );
             problems.add(Problem::new("limits.slots", what, "allow at least as many held messages as slots"));
         }
     }
@@ -485,7 +489,7 @@
         settings.isolation = listed.iter().map(isolation).collect();
         let sizes = [
             ("slots", u64::from(settings.slots)),
-            ("held_messages", u64::from(settings.max_open)),
+            ("held_messages", u64::from(settings.max_messages)),
             ("held_kb", held_bytes.unwrap_or(disk) / 1000),
         ];
         for (key, size) in sizes {
@@ -662,7 +666,7 @@
     ClassSettings {
         effect,
         in_order: false,
-        aim: Micros::from_ms(class.aim_ms),
+        target_time: Micros::from_ms(class.aim_ms),
         deadline: Micros::from_ms(class.deadline_ms),
         worth: class.worth.unwrap_or(1.0),
         late_share: class.late_share.unwrap_or(0.0),
