--- a/src/choice/upkeep/handover.rs
+++ b/src/choice/upkeep/handover.rs
@@ -1,107 +1,130 @@
-//! What the decisions go by, for the process that follows: told waits and drains, limits, pace, health, latencies, the
-//! messages and the calls that are out. Orders and sums that follow from these are made anew.
+//! State of the dispatcher that a handover gives to the successor process: retry-afters, drains, limits, send
+//! rates, health, latencies, messages and calls in flight. Indexes and sums that follow from these are
+//! computed anew. Interface: `src/interface.rs`.
 
 use super::super::*;
 use serde::{Deserialize, Serialize};
 
-/// See the module's text.
+/// Serialized state of a [`Dispatcher`]. The field names on the wire are those of the `rename` attributes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Decided {
+pub struct DispatcherState {
     messages: BTreeMap<MessageId, Message>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    lanes: BTreeMap<LaneId, Lane>,
+    #[serde(rename = "lanes")]
+    routes: BTreeMap<RouteId, Route>,
     keys: BTreeMap<u64, KeyQueue>,
-    asked: Vec<Faded>,
-    asked_all: Faded,
-    stale_share: f64,
-    stale_idle: Micros,
-    full_again: f64,
-    no_room: Vec<Faded>,
-    overall: Latency,
+    #[serde(rename = "asked")]
+    tenant_demand: Vec<DecayingCount>,
+    #[serde(rename = "asked_all")]
+    total_demand: DecayingCount,
+    #[serde(rename = "stale_share")]
+    stale_connection_share: f64,
+    #[serde(rename = "stale_idle")]
+    shortest_stale_idle: Micros,
+    #[serde(rename = "full_again")]
+    repeated_rejection_share: f64,
+    #[serde(rename = "no_room")]
+    failed_connects: Vec<DecayingCount>,
+    #[serde(rename = "overall")]
+    overall_latency: Latency,
     now: Micros,
 }
 
-/// Other places in the settings of the process that follows, for kinds and zones: by the old place.
+/// Maps the indexes of kinds and zones in the predecessor's settings to those of the successor.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
-    /// Kinds of destination.
+pub struct IndexMapping {
+    /// New index of each kind of destination, by its old index.
     pub kinds: Vec<usize>,
-    /// Zones.
+    /// New index of each zone, by its old index.
     pub zones: Vec<usize>,
 }
 
-impl Decided {
-    /// Kinds and zones go by their places in the settings, which may be others in the process that follows.
-    pub fn translate(&mut self, places: &Places) {
-        let zone = |zone: u32| places.zones.get(zone as usize).map_or(zone, |&to| to as u32);
+impl DispatcherState {
+    /// Replaces the indexes of kinds and zones by those of the successor's settings.
+    pub fn remap_indexes(&mut self, mapping: &IndexMapping) {
+        let zone = |zone: u32| mapping.zones.get(zone as usize).map_or(zone, |&to| to as u32);
         for endpoint in self.endpoints.values_mut() {
-            endpoint.kind = places.kinds.get(endpoint.kind).copied().unwrap_or(endpoint.kind);
+            endpoint.kind = mapping.kinds.get(endpoint.kind).copied().unwrap_or(endpoint.kind);
             endpoint.zone = zone(endpoint.zone);
         }
         for message in self.messages.values_mut() {
             message.may_have_run = message.may_have_run.map(|(at, endpoint, old)| (at, endpoint, zone(old)));
         }
-        let before = std::mem::take(&mut self.no_room);
-        for (from, &to) in places.kinds.iter().enumerate() {
+        let before = std::mem::take(&mut self.failed_connects);
+        for (from, &to) in mapping.kinds.iter().enumerate() {
             let Some(&failed) = before.get(from) else { continue };
-            if self.no_room.len() <= to {
-                self.no_room.resize(to + 1, Faded::default());
+            if self.failed_connects.len() <= to {
+                self.failed_connects.resize(to + 1, DecayingCount::default());
             }
-            self.no_room[to] = failed;
+            self.failed_connects[to] = failed;
         }
     }
 
-    /// The messages that have had no final answer.
-    pub fn open(&self) -> impl Iterator<Item = MessageId> + '_ {
-        self.messages.iter().filter(|(_, message)| !message.closed).map(|(&id, _)| id)
+    /// Messages without a final outcome.
+    pub fn unfinished(&self) -> impl Iterator<Item = MessageId> + '_ {
+        self.messages.iter().filter(|(_, message)| !message.has_final_outcome).map(|(&id, _)| id)
     }
 }
 
 impl Dispatcher {
-    /// All of it, as it stands between two turns.
-    pub fn decided(&self) -> Decided {
-        Decided {
+    /// A copy of the state between two loop iterations, for a handover.
+    pub fn snapshot(&self) -> DispatcherState {
+        DispatcherState {
             messages: self.messages.clone(),
             calls: self.calls.clone(),
             next_call: self.next_call,
             endpoints: self.endpoints.clone(),
-            lanes: self.lanes.clone(),
+            routes: self.routes.clone(),
             keys: self.keys.clone(),
-            asked: self.asked.clone(),
-            asked_all: self.asked_all,
-            stale_share: self.stale_share,
-            stale_idle: self.stale_idle,
-            full_again: self.full_again,
-            no_room: self.no_room.clone(),
-            overall: self.overall.clone(),
+            tenant_demand: self.tenant_demand.clone(),
+            total_demand: self.total_demand,
+            stale_connection_share: self.stale_connection_share,
+            shortest_stale_idle: self.shortest_stale_idle,
+            repeated_rejection_share: self.repeated_rejection_share,
+            failed_connects: self.failed_connects.clone(),
+            overall_latency: self.overall_latency.clone(),
             now: self.now,
         }
     }
 
-    /// Goes on from what another process decided by; classes and tenants have the same places there.
-    pub fn follow(settings: Settings, seed: u64, decided: Decided) -> Self {
+    /// Continues from the state of the predecessor. Classes and tenants have the same indexes in both
+    /// processes.
+    pub fn resume(settings: Settings, seed: u64, state: DispatcherState) -> Self {
         let mut next = Dispatcher::new(settings, seed);
-        let Decided { messages, calls, next_call, endpoints, lanes, keys, asked, asked_all, .. } = decided;
-        (next.messages, next.calls, next.next_call) = (messages, calls, next_call);
-        (next.endpoints, next.lanes, next.keys, next.asked_all) = (endpoints, lanes, keys, asked_all);
-        (next.stale_share, next.stale_idle) = (decided.stale_share, decided.stale_idle);
-        (next.full_again, next.overall, next.now) = (decided.full_again, decided.overall, decided.now);
-        let last = next.settings.classes.len().saturating_sub(1);
-        next.messages.values_mut().for_each(|message| message.class = message.class.min(last));
-        next.asked.iter_mut().zip(asked).for_each(|(one, told)| *one = told);
-        next.no_room.iter_mut().zip(decided.no_room).for_each(|(one, told)| *one = told);
-        for (&id, endpoint) in next.endpoints.iter().filter(|(_, e)| e.told_off.is_none()) {
+        next.messages = state.messages;
+        next.calls = state.calls;
+        next.next_call = state.next_call;
+        next.endpoints = state.endpoints;
+        next.routes = state.routes;
+        next.keys = state.keys;
+        next.total_demand = state.total_demand;
+        next.stale_connection_share = state.stale_connection_share;
+        next.shortest_stale_idle = state.shortest_stale_idle;
+        next.repeated_rejection_share = state.repeated_rejection_share;
+        next.overall_latency = state.overall_latency;
+        next.now = state.now;
+        let last_class = next.settings.classes.len().saturating_sub(1);
+        for message in next.messages.values_mut() {
+            message.class = message.class.min(last_class);
+        }
+        for (demand, before) in next.tenant_demand.iter_mut().zip(state.tenant_demand) {
+            *demand = before;
+        }
+        for (failed, before) in next.failed_connects.iter_mut().zip(state.failed_connects) {
+            *failed = before;
+        }
+        for (&id, endpoint) in next.endpoints.iter().filter(|(_, e)| e.not_ready_since.is_none()) {
             next.listed.entry(endpoint.destination).or_default().push(id);
         }
         for (&number, call) in &next.calls {
             next.overdue.insert((call.overdue_at, number));
-            next.gate.opened(call.tenant, call.expected);
+            next.scheduler.opened(call.tenant, call.expected_duration);
         }
         for id in next.messages.keys().copied().collect::<Vec<_>>() {
-            next.hold(id);
+            next.enqueue(id);
         }
         next
     }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -2,7 +2,7 @@
 //! what the decisions go by. The journal tells the rest: it holds all flows as of the last turn.
 
 use super::*;
-use crate::{Decided, Places};
+use crate::{DispatcherState, IndexMapping};
 use serde::{Deserialize, Serialize};
 
 /// A call that is out.
@@ -29,7 +29,7 @@
     next_flow: u32,
     next_call: CallId,
     calls: Vec<Out>,
-    decided: Decided,
+    decided: DispatcherState,
 }
 
 impl Handed {
@@ -75,7 +75,7 @@
             next_flow: self.next_flow,
             next_call: self.next_call,
             calls: self.calls.iter().map(out).collect(),
-            decided: self.dispatcher.decided(),
+            decided: self.dispatcher.snapshot(),
         })
     }
 
@@ -87,7 +87,7 @@
         place: (&Path, u64),
         now: Micros,
         cached: Vec<Member>,
-        (mut handed, places): (Handed, &Places),
+        (mut handed, places): (Handed, &IndexMapping),
     ) -> Engine {
         // Places are the same as there: the decisions go by them.
         let mut directory = Directory::default();
@@ -96,15 +96,15 @@
         let tenants = handed.tenants.drain(..).map(|(number, name)| Named { number, name });
         tenants.for_each(|named| directory.tenants.declare(named));
         let mut engine = Engine::replayed(core, seed, place, now, cached, directory);
-        handed.decided.translate(places);
+        handed.decided.remap_indexes(places);
         engine.adopt(handed, seed);
         engine
     }
 
     fn adopt(&mut self, handed: Handed, seed: u64) {
         let Handed { next_flow, next_call, calls, decided, .. } = handed;
-        let known: BTreeSet<MessageId> = decided.open().collect();
-        self.dispatcher = Dispatcher::follow(self.settings.clone(), seed, decided);
+        let known: BTreeSet<MessageId> = decided.unfinished().collect();
+        self.dispatcher = Dispatcher::resume(self.settings.clone(), seed, decided);
         (self.next_flow, self.next_call) = (next_flow, next_call);
         let mut out = BTreeMap::new();
         for one in calls {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -18,7 +18,8 @@
 use crate::tenancy::intake::{Intake, Shut};
 use crate::tenancy::share::{Bounds, Refused};
 use crate::{
-    Action, DestinationId, Dispatcher, EndpointId, Event, FirstPace, HandedIn, Lifecycle, ListScope, Member,
+    Action, DestinationId, Dispatcher, EndpointId, Event, HandedIn, InitialSendRate, Lifecycle, ListScope,
+    Member,
 };
 use crate::{MessageId, Micros, Outcome, Past, Settings};
 use figures::Figures;
@@ -221,12 +222,12 @@
 
     /// So many senders share the real servers, as observed (see `docs/membership.md`); none, as the settings say.
     pub fn shared_by(&mut self, senders: Option<f64>) {
-        self.dispatcher.shared_by(senders);
+        self.dispatcher.set_forwarder_count(senders);
     }
 
     /// While this one starts among others, what it begins with at each destination.
-    pub fn begins_with(&mut self, first: Option<FirstPace>) {
-        self.dispatcher.begins_with(first);
+    pub fn begins_with(&mut self, first: Option<InitialSendRate>) {
+        self.dispatcher.set_initial_rate(first);
     }
 
     /// Parts what can be held among the tenants. Cost: the tenants.
@@ -375,7 +376,7 @@
 
     /// Listed endpoints that are avoided. Cost: the endpoints listed.
     pub fn avoided(&self) -> usize {
-        self.dispatcher.avoided()
+        self.dispatcher.open_circuits()
     }
 
     /// Flows that are open, or whose end is still to be told.
--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -437,7 +437,7 @@
         }
         mates.shares.observe(now, mates.node.view());
         let divisor = mates.shares.divisor(now);
-        self.dispatcher.shared_by(Some(divisor));
+        self.dispatcher.set_forwarder_count(Some(divisor));
         self.carry_out(now, outputs, out);
     }
 
@@ -445,7 +445,7 @@
     fn hold_back(&mut self, now: Micros, world: &World) {
         let Some(mates) = &mut self.mates else { return };
         let first = mates.ramp.pace(now);
-        self.dispatcher.begins_with(first);
+        self.dispatcher.set_initial_rate(first);
         if self.knows && first.is_some() {
             let destinations = (0..world.endpoints.len() as u64).map(DestinationId);
             for (destination, until) in mates.ramp.waits(now, mates.among, destinations) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -120,6 +120,6 @@
 pub mod tenancy;
 mod waiting;
 
-pub use choice::upkeep::{Decided, FirstPace, Places};
+pub use choice::upkeep::{DispatcherState, IndexMapping, InitialSendRate};
 pub use choice::{timer_t1, Dispatcher};
 pub use interface::*;
--- a/src/net/list/mod.rs
+++ b/src/net/list/mod.rs
@@ -65,10 +65,10 @@
 
 impl Names {
     /// Where kinds and zones that stood in another order stand here; what is unknown here stands behind all.
-    pub fn places(&self, before: &Names) -> crate::Places {
+    pub fn places(&self, before: &Names) -> crate::IndexMapping {
         let place =
             |here: &[String], name: &String| here.iter().position(|one| one == name).unwrap_or(here.len());
-        crate::Places {
+        crate::IndexMapping {
             kinds: before.kinds.iter().map(|name| place(&self.kinds, name)).collect(),
             zones: before.zones.iter().map(|name| place(&self.zones, name)).collect(),
         }
--- a/src/startup/ramp.rs
+++ b/src/startup/ramp.rs
@@ -4,7 +4,7 @@
 //! which a site is powered up, and not each of them with all that its journal held. Waits and pace are told to the decisions:
 //! nothing is called early, and nothing is taken for a failure.
 
-use crate::{DestinationId, FirstPace, Micros};
+use crate::{DestinationId, InitialSendRate, Micros};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -75,15 +75,15 @@
 
     /// Where the start stands, for those who look: the window for first calls in seconds, and how far its pace is raised.
     pub fn figures(&self, now: Micros) -> (f64, f64) {
-        let raised = self.pace(now).map_or(f64::INFINITY, |pace| pace.raised);
+        let raised = self.pace(now).map_or(f64::INFINITY, |rate| rate.ramp_factor);
         (self.window as f64 / 1e6, (raised * 100.0).round() / 100.0)
     }
 
     /// The pace that this forwarder begins with; none once its start is over, and nothing is held back any more.
-    pub fn pace(&self, now: Micros) -> Option<FirstPace> {
+    pub fn pace(&self, now: Micros) -> Option<InitialSendRate> {
         let age = self.began.map_or(0.0, |began| now.minus(began).0 as f64 / OVER.0 as f64);
         let least = 1e6 / self.window.max(EACH) as f64;
-        (age < 1.0).then(|| FirstPace { least, raised: 1.0 / (1.0 - age * age) })
+        (age < 1.0).then(|| InitialSendRate { floor_per_s: least, ramp_factor: 1.0 / (1.0 - age * age) })
     }
 
     /// Who starts, this one among them: until when which destinations are to wait. All of them while it looks round; then those
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,204 +1,279 @@
-//! What a sender remembers, in a form that can be handed to the process that follows, and the arithmetic of its counts. Nothing here decides anything or holds a tuned
-//! value: all of those stand in `src/choice.rs`.
+//! State of the dispatcher, in a form that is serialized for a handover to the successor process, and the
+//! arithmetic of its counters. The field names on the wire are those of the `rename` attributes.
+//!
+//! No decision is made here, and no tuning constant is defined here: those are in `src/choice.rs`.
 
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A destination or, where routes are apart, one endpoint of it.
-pub type LaneId = (DestinationId, Option<EndpointId>);
+/// A destination or, where each endpoint of it is a route of its own, one of its endpoints.
+pub type RouteId = (DestinationId, Option<EndpointId>);
 
-/// Health of an endpoint or a lane.
+/// Circuit breaker of an endpoint or a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum CircuitState {
+    /// Calls get through.
     #[default]
-    Up,
-    /// Nothing gets through; sparse trials only.
-    Out,
-    /// Returning since then, still cold.
-    Back(Micros),
+    #[serde(rename = "Up")]
+    Closed,
+    /// Calls fail; only sparse trial calls are sent.
+    #[serde(rename = "Out")]
+    Open,
+    /// Calls get through again since that time; the receiver is still in slow start.
+    #[serde(rename = "Back")]
+    Recovering(Micros),
 }
 
-/// A message that is held or out.
+/// A message without a final outcome, or with an attempt in flight.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Message {
     pub destination: DestinationId,
+    /// Class, by index.
     pub class: usize,
+    /// Order key.
     pub key: Option<u64>,
-    pub taken: Micros,
+    #[serde(rename = "taken")]
+    pub accepted_at: Micros,
     pub deadline: Micros,
-    pub aim: Micros,
+    /// A delivery by that time earns the full worth of the class.
+    #[serde(rename = "aim")]
+    pub target_at: Micros,
+    /// Tenant, by index.
     pub tenant: usize,
+    /// Attempts started; the number of the next one.
     pub attempts: u32,
-    pub tries: u32,
+    /// Attempts started, without those that never left this process.
+    #[serde(rename = "tries")]
+    pub transmissions: u32,
+    /// End of the backoff after the last attempt.
     pub ready_at: Micros,
-    /// Timer B's clock, in microseconds: pauses and attempts; it stands still while the lane holds it.
-    pub spent: f64,
-    /// The attempt that is out: never more than one.
-    pub out: Option<Flight>,
-    /// First attempt that may have run: when it was sent, where, and in which zone.
+    /// Clock of Timer B, in microseconds: attempts and backoffs. It stands still while the message waits for
+    /// its route.
+    #[serde(rename = "spent")]
+    pub timer_b_elapsed: f64,
+    /// The attempt in flight: one at the most.
+    #[serde(rename = "out")]
+    pub in_flight: Option<AttemptInFlight>,
+    /// The first attempt that may have run: when it was sent, to which endpoint, and the zone of that
+    /// endpoint.
     pub may_have_run: Option<(Micros, EndpointId, u32)>,
-    pub closed: bool,
-    /// A start found it.
-    pub found: bool,
+    /// The final outcome is known.
+    #[serde(rename = "closed")]
+    pub has_final_outcome: bool,
+    /// The message was recovered from the journal at the start of the process.
+    #[serde(rename = "found")]
+    pub recovered: bool,
 }
 
-/// An attempt that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Debug, Copy, Serialize, Deserialize)]
-pub struct Flight {
+pub struct AttemptInFlight {
+    /// Number of the attempt, from 0.
     pub attempt: u32,
+    /// Number of the call that carries it.
     pub call: u64,
     pub sent_at: Micros,
 }
 
-/// A call that is out, with the messages that share it.
+/// A call in flight, with the messages that it carries.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Call {
     pub endpoint: EndpointId,
-    pub lane: LaneId,
-    pub left: u32,
-    pub first: bool,
+    #[serde(rename = "lane")]
+    pub route: RouteId,
+    /// Attempts of this call that have not ended.
+    #[serde(rename = "left")]
+    pub unfinished: u32,
+    /// It carries the first attempt of a message.
+    #[serde(rename = "first")]
+    pub has_first_attempt: bool,
     pub sent_at: Micros,
-    /// From then on its slot may be taken for another message.
+    /// From that time on the call may be cancelled to free its slot for another message.
     pub overdue_at: Micros,
-    /// How long the connection it went out on had been idle; zero for a new or a busy one.
-    pub idle: Micros,
-    /// Whose message opened it, and how long it was expected to keep its slot.
+    /// How long its connection had been idle; zero for a new or a busy connection.
+    #[serde(rename = "idle")]
+    pub connection_idle: Micros,
+    /// Tenant whose message opened the call.
     pub tenant: usize,
-    pub expected: Micros,
-    /// Messages that it carries.
-    pub carries: Vec<MessageId>,
+    /// How long the call was expected to occupy its slot.
+    #[serde(rename = "expected")]
+    pub expected_duration: Micros,
+    #[serde(rename = "carries")]
+    pub messages: Vec<MessageId>,
 }
 
-/// An endpoint that the list has named.
+/// An endpoint that the endpoint list has named.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Endpoint {
     pub destination: DestinationId,
+    /// Zone, by index.
     pub zone: u32,
+    /// Kind of its destination, by index.
     pub kind: usize,
+    /// Listed rate, in calls a second; see [`Settings::weights`].
     pub weight: f64,
-    pub told_off: Option<Micros>,
+    /// Since when the list no longer has it as ready (draining, gone or missing).
+    #[serde(rename = "told_off")]
+    pub not_ready_since: Option<Micros>,
     pub health: Health,
-    pub bad: u32,
-    /// Answers in a row that could not be read.
-    pub spoilt: u32,
-    pub good: u32,
+    #[serde(rename = "bad")]
+    pub failures_in_a_row: u32,
+    /// Malformed answers in a row.
+    #[serde(rename = "spoilt")]
+    pub malformed_in_a_row: u32,
+    #[serde(rename = "good")]
+    pub successes_in_a_row: u32,
+    /// Calls in flight.
     pub in_flight: u32,
+    /// When a call to it last began or ended; zero after its idle connections were closed.
     pub last_used: Micros,
-    /// A call failed on a connection that had been idle for so long, and none has ended on a new one since.
-    pub suspect: Option<Micros>,
+    /// Idle time of a connection on which a call failed; cleared when a call on a new connection ends.
+    #[serde(rename = "suspect")]
+    pub failed_after_idle: Option<Micros>,
 }
 
-/// Whether calls get through, and the budget of calls while they did not or have just begun to.
+/// Circuit breaker, and the budget of calls (rule 4) while it is open or recovering.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Health {
-    pub phase: Phase,
-    /// Since the last served call it answered with an error, or shut its door.
+    #[serde(rename = "phase")]
+    pub circuit: CircuitState,
+    /// Since the last served call it answered with an error, or its rejections opened the circuit.
     pub refusing: bool,
-    /// When a call there was last served.
+    /// When a call was last served.
     pub served_at: Micros,
+    /// When a call was last sent.
     pub called_at: Micros,
-    /// Bucket of the fail-back budget (rule 4).
+    /// Token bucket of the call budget.
     pub tokens: f64,
+    /// When the token bucket was last filled.
     pub filled_at: Micros,
 }
 
-/// Latency of served calls, in microseconds: aged mean, and the p95 of the recent ones.
+/// Latency of served calls, in microseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Latency {
+    /// Exponentially weighted mean.
     pub mean: Option<f64>,
+    /// 95th percentile of `recent`.
     pub p95: f64,
     pub recent: VecDeque<u64>,
 }
 
-/// A count that fades with time.
+/// A count that decays exponentially with time.
 #[derive(Clone, Debug, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Faded {
+pub struct DecayingCount {
     pub value: f64,
-    pub at: Micros,
+    /// When `value` was current.
+    #[serde(rename = "at")]
+    pub updated_at: Micros,
 }
 
-/// What a sender knows of one lane: the estimator of formula (10), the pace, and the lane's health.
+/// What the forwarder has observed of one route: the estimator of formula (10), the send rate and the health.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Lane {
+pub struct Route {
     pub latency: Latency,
-    pub attempts: Faded,
-    pub lost: Faded,
-    pub firsts: Faded,
-    pub repeats: Faded,
-    pub pace: f64,
+    /// Ended attempts.
+    pub attempts: DecayingCount,
+    /// Attempts that ended without an answer.
+    pub lost: DecayingCount,
+    /// Ended first attempts.
+    #[serde(rename = "firsts")]
+    pub first_attempts: DecayingCount,
+    /// Ended repeats.
+    pub repeats: DecayingCount,
+    /// Calls a second; infinite until the first rejection.
+    #[serde(rename = "pace")]
+    pub send_rate: f64,
+    /// Token bucket of the send rate.
     pub tokens: f64,
+    /// When the token bucket was last filled.
     pub filled_at: Micros,
-    pub rate: Faded,
-    /// The limit told for all senders together, aged, in calls a second (0: none told), and the share of it last
-    /// told to be left.
-    pub limit: f64,
-    pub left: f64,
-    pub told_at: Micros,
-    pub cut_at: Micros,
-    pub wait_until: Micros,
-    pub fulls: u32,
+    /// Calls sent.
+    #[serde(rename = "rate")]
+    pub calls_sent: DecayingCount,
+    /// Reported limit for all forwarders together, exponentially weighted, in calls a second; 0 if none is
+    /// reported.
+    #[serde(rename = "limit")]
+    pub reported_limit: f64,
+    /// Share of the limit that was still unused by the last report.
+    #[serde(rename = "left")]
+    pub reported_unused: f64,
+    #[serde(rename = "told_at")]
+    pub limit_reported_at: Micros,
+    /// When the send rate was last cut.
+    #[serde(rename = "cut_at")]
+    pub rate_cut_at: Micros,
+    /// End of the last retry-after.
+    #[serde(rename = "wait_until")]
+    pub retry_after_until: Micros,
+    #[serde(rename = "fulls")]
+    pub rejections_in_a_row: u32,
     pub health: Health,
-    /// Calls this lane was asked to take, and when it was last of use.
-    pub demand: Faded,
+    /// Messages accepted for this route.
+    pub demand: DecayingCount,
+    /// When a call was last sent, or when the route was first used.
     pub used_at: Micros,
 }
 
-/// The messages of one order key, and how long it rests, and for whom that does not count.
+/// Messages of one order key, and the pause of the key after an attempt that may still be running.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KeyQueue {
     pub order: VecDeque<MessageId>,
-    pub rest_until: Micros,
-    pub rest_for: Option<MessageId>,
+    #[serde(rename = "rest_until")]
+    pub paused_until: Micros,
+    /// The message whose attempt caused the pause; the pause does not apply to it.
+    #[serde(rename = "rest_for")]
+    pub pause_exempt: Option<MessageId>,
 }
 
-impl Faded {
-    /// What is left of it.
-    pub fn now(&self, now: Micros, memory_s: f64) -> f64 {
-        self.value * (-seconds(now.minus(self.at)) / memory_s).exp()
+impl DecayingCount {
+    /// The decayed value at `now`.
+    pub fn value_at(&self, now: Micros, time_constant_s: f64) -> f64 {
+        self.value * (-seconds(now.minus(self.updated_at)) / time_constant_s).exp()
     }
 
-    /// Counts more.
-    pub fn add(&mut self, now: Micros, memory_s: f64, more: f64) {
-        *self = Faded { value: self.now(now, memory_s) + more, at: now };
+    pub fn add(&mut self, now: Micros, time_constant_s: f64, increment: f64) {
+        *self = DecayingCount { value: self.value_at(now, time_constant_s) + increment, updated_at: now };
     }
 
-    /// Its share of another count; zero of none.
-    pub fn of(&self, whole: &Faded, now: Micros, memory_s: f64) -> f64 {
-        let whole = whole.now(now, memory_s);
+    /// The ratio of this count to `whole`; zero if `whole` is zero.
+    pub fn ratio_to(&self, whole: &DecayingCount, now: Micros, time_constant_s: f64) -> f64 {
+        let whole = whole.value_at(now, time_constant_s);
         if whole > 0.0 {
-            self.now(now, memory_s) / whole
+            self.value_at(now, time_constant_s) / whole
         } else {
             0.0
         }
     }
 }
 
-/// A length of time in seconds.
+/// A duration in seconds.
 pub fn seconds(time: Micros) -> f64 {
     time.0 as f64 / 1e6
 }
 
-/// So many seconds, rounded up.
+/// A duration given in seconds, rounded up to a whole microsecond.
 pub fn micros(seconds: f64) -> Micros {
     Micros((seconds * 1e6).ceil() as u64)
 }
 
 impl Latency {
-    /// Takes one more latency, with its weight in the mean and the number of them that the p95 looks at.
-    pub fn add(&mut self, spent: Micros, gain: f64, keep: usize) {
-        let spent_us = spent.0 as f64;
-        self.mean = Some(self.mean.map_or(spent_us, |mean| mean + gain * (spent_us - mean)));
-        self.recent.push_back(spent.0);
-        if self.recent.len() > keep {
+    /// Adds the latency of one call. `gain` is its weight in the mean; the p95 covers the last `window`
+    /// calls.
+    pub fn add(&mut self, latency: Micros, gain: f64, window: usize) {
+        let latency_us = latency.0 as f64;
+        self.mean = Some(self.mean.map_or(latency_us, |mean| mean + gain * (latency_us - mean)));
+        self.recent.push_back(latency.0);
+        if self.recent.len() > window {
             self.recent.pop_front();
         }
         let mut sorted: Vec<u64> = self.recent.iter().copied().collect();
@@ -207,7 +282,7 @@
     }
 }
 
-/// Orders by what gains most; of equals, the oldest is the greater.
-pub fn first(a: &(f64, MessageId), b: &(f64, MessageId)) -> std::cmp::Ordering {
+/// Orders messages by urgency; of equals, the oldest is the greater.
+pub fn by_urgency(a: &(f64, MessageId), b: &(f64, MessageId)) -> std::cmp::Ordering {
     a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))
 }
