--- a/src/choice.rs
+++ b/src/choice.rs
@@ -391,8 +391,8 @@
         message.recovered = true;
         if let (Some(key), Some(_)) = (message.key, may_have_run) {
             let queue = self.keys.entry(key).or_default();
-            queue.paused_until = self.now.plus(self.settings.key_rest);
-            queue.pause_exempt = Some(id);
+            queue.backoff_until = self.now.plus(self.settings.key_rest);
+            queue.backoff_exempt = Some(id);
         }
         self.enqueue(id);
     }
@@ -455,8 +455,8 @@
         }
         if let (Some(key), true) = (message.key, may_have_run && outcome != Outcome::Error) {
             let queue = self.keys.entry(key).or_default();
-            queue.paused_until = self.now.plus(self.settings.key_rest);
-            queue.pause_exempt = Some(id);
+            queue.backoff_until = self.now.plus(self.settings.key_rest);
+            queue.backoff_exempt = Some(id);
         }
         if message.has_final_outcome {
             self.remove_message(id);
@@ -604,8 +604,10 @@
                     if endpoint.health.circuit != CircuitState::Open {
                         endpoint.health.open_circuit(now, self.random.f64());
                         let destination = call.route.0 .0;
-                        let line =
-                            format!("endpoint circuit open: destination {destination} endpoint {:x}", id.0);
+                        let line = format!(
+                            "endpoint out of service, circuit open: destination {destination} endpoint {:x}",
+                            id.0
+                        );
                         self.actions.push(Action::Log(line));
                     }
                     // Most outages affect all endpoints of a destination, and each forwarder would try each
@@ -1038,11 +1040,11 @@
 
     // ---- The guards of the six rules ----
 
-    /// Rule 5: the message is the first of its order key, and the key isn't paused for another message.
+    /// Rule 5: the message is the first of its order key, and the key has no backoff for the sake of another message.
     fn is_next_of_key(&self, id: MessageId) -> bool {
         let Some(queue) = self.messages[&id].key.and_then(|key| self.keys.get(&key)) else { return true };
-        let is_paused = queue.paused_until > self.now && queue.pause_exempt != Some(id);
-        queue.order.front() == Some(&id) && !is_paused
+        let is_backing_off = queue.backoff_until > self.now && queue.backoff_exempt != Some(id);
+        queue.order.front() == Some(&id) && !is_backing_off
     }
 
     /// Until when another attempt may be sent, given what earlier attempts may have done (rule 2).
--- a/src/choice/upkeep.rs
+++ b/src/choice/upkeep.rs
@@ -185,7 +185,7 @@
             let &Message { destination, ready_at, key, .. } = &self.messages[&id];
             let key_free_at = match key.and_then(|key| self.keys.get(&key)) {
                 Some(queue) if queue.order.front() != Some(&id) => never,
-                Some(queue) if queue.pause_exempt != Some(id) => queue.paused_until,
+                Some(queue) if queue.backoff_exempt != Some(id) => queue.backoff_until,
                 _ => Micros(0),
             };
             let opens = self.destination_opens_at(destination).unwrap_or(never);
@@ -303,7 +303,7 @@
         }
         let now = self.now;
         self.cleanup_at = now.plus(UNUSED_STATE_TTL);
-        self.keys.retain(|_, queue| !queue.order.is_empty() || queue.paused_until > now);
+        self.keys.retain(|_, queue| !queue.order.is_empty() || queue.backoff_until > now);
         let calls = &self.calls;
         self.endpoints.retain(|id, known| {
             known.not_ready_since.is_none_or(|since| now.minus(since) < UNUSED_STATE_TTL)
--- a/src/state.rs
+++ b/src/state.rs
@@ -223,16 +223,16 @@
     pub used_at: Micros,
 }
 
-/// Messages of one order key, and the pause of the key after an attempt that may still be running.
+/// Messages of one order key, and the backoff of the key after an attempt that may still be running.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KeyQueue {
     pub order: VecDeque<MessageId>,
     #[serde(rename = "rest_until")]
-    pub paused_until: Micros,
-    /// The message whose attempt caused the pause; the pause does not apply to it.
+    pub backoff_until: Micros,
+    /// The message whose attempt caused the backoff; the backoff does not apply to it.
     #[serde(rename = "rest_for")]
-    pub pause_exempt: Option<MessageId>,
+    pub backoff_exempt: Option<MessageId>,
 }
 
 impl DecayingCount {
