--- a/src/choice.rs
+++ b/src/choice.rs
@@ -10,8 +10,8 @@
 use crate::interface::*;
 use crate::report::Report;
 use crate::state::*;
-use crate::tenancy::gate::Gate;
-use crate::waiting::{Spot, Waiting};
+use crate::tenancy::gate::FairScheduler;
+use crate::waiting::{WaitingMessage, WaitingMessages};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// T1 of a route before any call was served.
@@ -67,7 +67,7 @@
 const FAILURES_TO_OPEN: u32 = 2;
 /// Malformed answers in a row that count as a failure.
 const MALFORMED_TO_FAIL: u32 = 4;
-/// A forwarder's share of a route is low if it is fewer calls than this in [`Settings::fall_window`].
+/// A forwarder's share of a route is low if it is fewer calls than this in [`Settings::overload_window`].
 const LOW_SHARE_CALLS: f64 = 0.5;
 /// Rejections in a row that open the circuit: more than an exhausted limit explains.
 const REJECTIONS_TO_OPEN: u32 = 6;
@@ -92,8 +92,8 @@
 const URGENCY_HORIZON_LATENCIES: f64 = 4.0;
 /// Weight of the worth itself in the urgency, beside what waiting loses.
 const URGENCY_WORTH_WEIGHT: f64 = 1e-3;
-/// Share of [`Settings::max_open`] that messages of any worth may fill; the rest is for messages of greater
-/// worth.
+/// Share of [`Settings::max_messages`] that messages of any worth may fill; the rest is for messages of
+/// greater worth.
 const CAPACITY_SHARE_FOR_ANY_WORTH: f64 = 0.7;
 /// Weight of a new call in the share of idle connections that were found dead.
 const STALE_SHARE_GAIN: f64 = 0.25;
@@ -129,9 +129,9 @@
     forwarders: upkeep::Forwarders,
     random: fastrand::Rng,
     messages: BTreeMap<MessageId, Message>,
-    waiting: Waiting,
+    waiting: WaitingMessages,
     /// Shares the slots among tenants.
-    scheduler: Gate,
+    scheduler: FairScheduler,
     calls: BTreeMap<u64, Call>,
     /// Calls by the time from which they may be cancelled for the sake of others.
     overdue: BTreeSet<(Micros, u64)>,
@@ -194,7 +194,7 @@
     /// cancelled, often by this forwarder itself, and lost connections look like an outage: a call served
     /// soon after the last one shows that there was none. A receiver that answers with errors or rejections
     /// may serve some calls in between, so this doesn't apply to it.
-    fn record_success(&mut self, now: Micros, cold_time: Micros) -> bool {
+    fn record_success(&mut self, now: Micros, recovery_time: Micros) -> bool {
         let was_open = self.circuit == CircuitState::Open;
         let no_outage = !self.refusing && now.minus(self.served_at) < MIN_OUTAGE;
         self.served_at = now;
@@ -202,7 +202,7 @@
         match self.circuit {
             CircuitState::Open if no_outage => self.circuit = CircuitState::Closed,
             CircuitState::Open => self.circuit = CircuitState::Recovering(now),
-            CircuitState::Recovering(since) if now.minus(since) >= cold_time => {
+            CircuitState::Recovering(since) if now.minus(since) >= recovery_time => {
                 self.circuit = CircuitState::Closed;
             }
             _ => {}
@@ -214,16 +214,16 @@
     fn available_capacity_share(&self, now: Micros, settings: &Settings) -> f64 {
         let progress = match self.circuit {
             CircuitState::Recovering(since) => {
-                seconds(now.minus(since)) / seconds(settings.cold_time).max(1e-3)
+                seconds(now.minus(since)) / seconds(settings.recovery_time).max(1e-3)
             }
             // Long after the last call, it may have recovered for other forwarders. The slow start counts
-            // from two cold times on, as outages are longer than one.
+            // from two recovery times on, as outages are longer than one.
             CircuitState::Open => {
-                seconds(now.minus(self.called_at)) / seconds(settings.cold_time).max(1e-3) - 2.0
+                seconds(now.minus(self.called_at)) / seconds(settings.recovery_time).max(1e-3) - 2.0
             }
             CircuitState::Closed => 1.0,
         };
-        settings.cold_from + (1.0 - settings.cold_from) * progress.clamp(0.0, 1.0)
+        settings.recovery_start_share + (1.0 - settings.recovery_start_share) * progress.clamp(0.0, 1.0)
     }
 
     /// When the call budget of rule 4 allows a call. `capacity` is what the receiver takes after its slow
@@ -231,11 +231,11 @@
     fn opens_at(&self, now: Micros, capacity: f64, settings: &Settings) -> Micros {
         match self.circuit {
             CircuitState::Closed => return now,
-            CircuitState::Recovering(since) if now.minus(since) >= settings.cold_time => return now,
+            CircuitState::Recovering(since) if now.minus(since) >= settings.recovery_time => return now,
             _ => {}
         }
         let available = self.available_capacity_share(now, settings);
-        let rate = (settings.fall_multiple * available * capacity).max(1e-6);
+        let rate = (settings.overload_multiple * available * capacity).max(1e-6);
         let missing_tokens = 1.0 - self.tokens - rate * seconds(now.minus(self.filled_at));
         if missing_tokens <= 0.0 {
             now
@@ -246,7 +246,7 @@
 
     /// Takes a sent call out of the call budget.
     fn record_call(&mut self, now: Micros, capacity: f64, settings: &Settings) {
-        let rate = settings.fall_multiple * self.available_capacity_share(now, settings) * capacity;
+        let rate = settings.overload_multiple * self.available_capacity_share(now, settings) * capacity;
         self.tokens = (self.tokens + rate * seconds(now.minus(self.filled_at))).min(1.0) - 1.0;
         self.filled_at = now;
         self.called_at = now;
@@ -303,21 +303,21 @@
         self.now = now;
         for event in events {
             match event {
-                Event::Members(scope, members) => self.update_endpoints(scope, members),
+                Event::EndpointRecords(scope, records) => self.update_endpoints(scope, records),
                 Event::Message(id, message) => {
                     self.accept(id, message);
                     self.submitted.push(id);
                 }
                 Event::Restored(id, message, past) => self.recover(id, message, past),
-                Event::Told(endpoint, wait) => {
-                    let until = self.now.plus(wait);
+                Event::RetryAfter(endpoint, retry_after) => {
+                    let until = self.now.plus(retry_after);
                     let Some(route_id) = self.route_of(endpoint) else { continue };
                     let route = self.route_mut(endpoint);
                     route.retry_after_until = route.retry_after_until.max(until);
-                    self.waiting.stir(route_id.0);
+                    self.waiting.mark_changed(route_id.0);
                 }
                 Event::Report(endpoint, report) => self.apply_limit_report(endpoint, report),
-                Event::Settled { id, attempt, outcome, spent, closed, .. } => {
+                Event::AttemptEnded { id, attempt, outcome, spent, closed, .. } => {
                     self.finish_attempt(id, attempt, outcome, spent, closed);
                 }
                 Event::Settings(settings) => self.apply_settings(*settings),
@@ -339,16 +339,16 @@
     // ---- Events ----
 
     /// Accepts a submitted message.
-    fn accept(&mut self, id: MessageId, submission: HandedIn) {
-        let HandedIn { destination, time_left, class, key, tenant, again } = submission;
+    fn accept(&mut self, id: MessageId, submission: Submission) {
+        let Submission { destination, time_left, class, key, tenant, resubmitted } = submission;
         let class = class.min(self.settings.classes.len().saturating_sub(1));
         let class_settings = &self.settings.classes[class];
         let deadline = self.now.plus(time_left);
         // A message that is submitted with little time left is not late already, unless it was submitted
         // before.
-        let target_by_deadline = deadline.plus(class_settings.aim).minus(class_settings.deadline);
-        let target_at = Some(target_by_deadline).filter(|&target_at| again || target_at > self.now);
-        let target_at = target_at.unwrap_or(self.now.plus(class_settings.aim).min(deadline));
+        let target_by_deadline = deadline.plus(class_settings.target_time).minus(class_settings.deadline);
+        let target_at = Some(target_by_deadline).filter(|&target_at| resubmitted || target_at > self.now);
+        let target_at = target_at.unwrap_or(self.now.plus(class_settings.target_time).min(deadline));
         let key = key.filter(|_| class_settings.in_order);
         if let Some(key) = key {
             self.keys.entry(key).or_default().order.push_back(id);
@@ -380,8 +380,8 @@
 
     /// Accepts a message of an earlier process. An attempt that was in flight when that process ended may
     /// have run, and the attempts continue to count.
-    fn recover(&mut self, id: MessageId, submission: HandedIn, past: Past) {
-        self.accept(id, HandedIn { again: true, ..submission });
+    fn recover(&mut self, id: MessageId, submission: Submission, past: AttemptHistory) {
+        self.accept(id, Submission { resubmitted: true, ..submission });
         let may_have_run =
             past.may_have_run.map(|(sent_at, endpoint)| (sent_at, endpoint, self.zone_of(endpoint)));
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -391,14 +391,14 @@
         message.recovered = true;
         if let (Some(key), Some(_)) = (message.key, may_have_run) {
             let queue = self.keys.entry(key).or_default();
-            queue.backoff_until = self.now.plus(self.settings.key_rest);
+            queue.backoff_until = self.now.plus(self.settings.key_backoff);
             queue.backoff_exempt = Some(id);
         }
         self.enqueue(id);
     }
 
     /// Factor on the worth of one more message of a tenant: lower if the tenant both submits more than its
-    /// quota and holds more than its share of [`Settings::max_open`].
+    /// quota and holds more than its share of [`Settings::max_messages`].
     fn tenant_factor(&self, tenant: usize, held_by_tenant: &[usize]) -> f64 {
         let Some(&quota) = self.settings.tenants.get(tenant) else { return 1.0 };
         let demand = |count: &DecayingCount| count.value_at(self.now, TENANT_DEMAND_TIME_CONSTANT_S);
@@ -406,7 +406,7 @@
         let all = demand(&self.total_demand);
         let share = quota / self.total_quota;
         let quota_per_demand = quota * TENANT_DEMAND_TIME_CONSTANT_S / (own * self.forwarders.count);
-        let holds_more = held_by_tenant[tenant] as f64 > share * f64::from(self.settings.max_open);
+        let holds_more = held_by_tenant[tenant] as f64 > share * f64::from(self.settings.max_messages);
         if holds_more && (share * all / own).max(quota_per_demand) < 1.0 {
             self.settings.over_share_worth
         } else {
@@ -420,7 +420,7 @@
         &mut self,
         id: MessageId,
         attempt: u32,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         spent: Micros,
         has_final_outcome: bool,
     ) {
@@ -435,32 +435,34 @@
         let call_ended = call.unfinished == 0;
         // The attempts of one call may end in different batches of events, each with the same retry-after: it
         // applies from the first one on (rule 6).
-        if let (Outcome::Full { wait: Some(wait) }, Some(route)) = (outcome, self.routes.get_mut(&route_id)) {
-            route.retry_after_until = route.retry_after_until.max(self.now.plus(wait));
+        if let (AttemptOutcome::Rejected { retry_after: Some(retry_after) }, Some(route)) =
+            (outcome, self.routes.get_mut(&route_id))
+        {
+            route.retry_after_until = route.retry_after_until.max(self.now.plus(retry_after));
         }
-        self.waiting.stir(route_id.0);
+        self.waiting.mark_changed(route_id.0);
         if call_ended {
             if let Some(call) = self.calls.remove(&in_flight.call) {
                 self.overdue.remove(&(call.overdue_at, in_flight.call));
-                self.scheduler.ended(call.tenant, call.expected_duration, spent);
+                self.scheduler.call_ended(call.tenant, call.expected_duration, spent);
                 self.learn_from_call(&call, outcome, spent);
             }
         }
         let t1 = self.routes.get(&route_id).map_or(INITIAL_T1.0 as f64, |route| route.t1(self.now));
         let zone = self.zone_of(endpoint);
         let Some(message) = self.messages.get_mut(&id) else { return };
-        let may_have_run = !outcome.never_ran() && outcome != Outcome::Served;
+        let may_have_run = !outcome.never_ran() && outcome != AttemptOutcome::Delivered;
         if may_have_run {
             message.may_have_run.get_or_insert((in_flight.sent_at, endpoint, zone));
         }
-        if let (Some(key), true) = (message.key, may_have_run && outcome != Outcome::Error) {
+        if let (Some(key), true) = (message.key, may_have_run && outcome != AttemptOutcome::Error) {
             let queue = self.keys.entry(key).or_default();
-            queue.backoff_until = self.now.plus(self.settings.key_rest);
+            queue.backoff_until = self.now.plus(self.settings.key_backoff);
             queue.backoff_exempt = Some(id);
         }
         if message.has_final_outcome {
             self.remove_message(id);
-        } else if outcome == Outcome::Moot {
+        } else if outcome == AttemptOutcome::NotSent {
             message.transmissions -= 1;
             message.ready_at = self.now.plus(TIMER_GRANULARITY);
             self.enqueue(id);
@@ -479,7 +481,7 @@
     }
 
     /// Updates the route and the endpoint of an ended call. The messages that shared the call count once.
-    fn learn_from_call(&mut self, call: &Call, outcome: Outcome, spent: Micros) {
+    fn learn_from_call(&mut self, call: &Call, outcome: AttemptOutcome, spent: Micros) {
         let id = call.endpoint;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.in_flight -= 1;
@@ -489,15 +491,17 @@
         // of all receivers alike. So a few of them say nothing of its health, but a receiver that sends
         // nothing else fails.
         endpoint.malformed_in_a_row =
-            if outcome == Outcome::Spoilt { endpoint.malformed_in_a_row + 1 } else { 0 };
-        if outcome == Outcome::Moot || (1..MALFORMED_TO_FAIL).contains(&endpoint.malformed_in_a_row) {
+            if outcome == AttemptOutcome::MalformedAnswer { endpoint.malformed_in_a_row + 1 } else { 0 };
+        if outcome == AttemptOutcome::NotSent || (1..MALFORMED_TO_FAIL).contains(&endpoint.malformed_in_a_row)
+        {
             return;
         }
-        let connect_failed = matches!(outcome, Outcome::ConnectFailed | Outcome::TableFull);
+        let connect_failed =
+            matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLimitReached);
         if let (true, Some(failed)) = (connect_failed, self.failed_connects.get_mut(endpoint.kind)) {
             failed.add(self.now, FAILED_CONNECTS_TIME_CONSTANT_S, 1.0);
         }
-        if outcome == Outcome::TableFull {
+        if outcome == AttemptOutcome::ConnectionLimitReached {
             // The endpoint is there, and its limit was not consulted: it is out of connections, not of calls.
             if let Some(route) = self.routes.get_mut(&call.route) {
                 route.count_attempt(self.now, call.has_first_attempt, true);
@@ -510,7 +514,7 @@
         // A call that was sent with less time than calls to this route take says nothing when it times out.
         let mean_latency =
             self.routes.get(&call.route).and_then(|route| route.latency.mean).unwrap_or_default();
-        if outcome == Outcome::TimedOut && (spent.0 as f64) < mean_latency {
+        if outcome == AttemptOutcome::TimedOut && (spent.0 as f64) < mean_latency {
             return;
         }
         let share = self.rate_share(id);
@@ -519,15 +523,23 @@
         let Some(route) = self.routes.get_mut(&call.route) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         route.rate_allows_at(now, max_rate);
-        let answered = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Reset | Outcome::Spoilt);
+        let answered = matches!(
+            outcome,
+            AttemptOutcome::Delivered
+                | AttemptOutcome::Error
+                | AttemptOutcome::Reset
+                | AttemptOutcome::MalformedAnswer
+        );
         route.count_attempt(now, call.has_first_attempt, !answered);
-        let low_share = share * seconds(self.settings.fall_window) < LOW_SHARE_CALLS;
-        if route.rejections_in_a_row > 0 && matches!(outcome, Outcome::Served | Outcome::Full { .. }) {
-            let rejected_again = f64::from(u8::from(outcome != Outcome::Served));
+        let low_share = share * seconds(self.settings.overload_window) < LOW_SHARE_CALLS;
+        if route.rejections_in_a_row > 0
+            && matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::Rejected { .. })
+        {
+            let rejected_again = f64::from(u8::from(outcome != AttemptOutcome::Delivered));
             self.repeated_rejection_share += EWMA_GAIN * (rejected_again - self.repeated_rejection_share);
         }
         match outcome {
-            Outcome::Served => {
+            AttemptOutcome::Delivered => {
                 route.latency.add(spent, EWMA_GAIN, P95_WINDOW_CALLS);
                 self.overall_latency.add(spent, EWMA_GAIN, P95_WINDOW_CALLS);
                 let headroom =
@@ -544,14 +556,14 @@
                 let destination = call.route.0 .0;
                 for (health, name) in [(&mut endpoint.health, "endpoint"), (&mut route.health, "destination")]
                 {
-                    if health.record_success(now, self.settings.cold_time) {
+                    if health.record_success(now, self.settings.recovery_time) {
                         let line =
                             format!("{name} recovering: destination {destination} endpoint {:x}", id.0);
                         self.actions.push(Action::Log(line));
                     }
                 }
             }
-            Outcome::Full { wait } => {
+            AttemptOutcome::Rejected { retry_after } => {
                 // A rejection while nothing of the reported limit is unused is above the limit: it doesn't
                 // count towards opening the circuit, however many there are in a row.
                 let unexplained = route.limit_reported_at < now || route.reported_unused > LOW_UNUSED_SHARE;
@@ -579,22 +591,22 @@
                     route.rate_cut_at = now;
                 }
                 if route.rejections_in_a_row >= REJECTIONS_TO_OPEN
-                    || wait.is_some_and(|wait| wait > RETRY_AFTER_TO_OPEN)
+                    || retry_after.is_some_and(|retry_after| retry_after > RETRY_AFTER_TO_OPEN)
                 {
                     route.health.refusing = true;
-                    self.open_route_circuit(call.route, "shut, it rejects all calls");
+                    self.open_route_circuit(call.route, "shut, it rejects calls");
                 }
             }
             _ => {
                 endpoint.successes_in_a_row = 0;
                 endpoint.failures_in_a_row += 1;
-                endpoint.health.refusing |= outcome == Outcome::Error;
-                route.health.refusing |= outcome == Outcome::Error;
+                endpoint.health.refusing |= outcome == AttemptOutcome::Error;
+                route.health.refusing |= outcome == AttemptOutcome::Error;
                 // A forwarder that seldom calls a destination, or is one of many, cannot wait for a second
                 // failure: each of the other forwarders sees one failure, too.
-                let one_is_enough =
-                    low_share || self.forwarders.count > LARGE_FLEET_FORWARDERS && outcome != Outcome::Error;
-                let broken = matches!(outcome, Outcome::Reset | Outcome::ConnectFailed);
+                let one_is_enough = low_share
+                    || self.forwarders.count > LARGE_FLEET_FORWARDERS && outcome != AttemptOutcome::Error;
+                let broken = matches!(outcome, AttemptOutcome::Reset | AttemptOutcome::ConnectFailed);
                 let failures_to_open = match (one_is_enough, broken) {
                     (true, _) => 1,
                     (_, true) => BROKEN_CONNECTIONS_TO_OPEN,
@@ -614,10 +626,10 @@
                     // endpoint once. So the first call without an answer opens the circuit of the route where
                     // one failure is enough, unless a call was served meanwhile. An endpoint that refuses a
                     // connection at once may only have a full connection table.
-                    let unanswered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
+                    let unanswered = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
                     let usual_latency = self.overall_latency.mean.unwrap_or(INITIAL_T1.0 as f64);
                     let slow = spent.0 as f64 >= usual_latency;
-                    let no_answer = unanswered || outcome == Outcome::ConnectFailed && slow;
+                    let no_answer = unanswered || outcome == AttemptOutcome::ConnectFailed && slow;
                     let silent = one_is_enough && no_answer && route.health.served_at <= call.sent_at;
                     let listed = self.listed.get(&call.route.0).map_or(&[][..], |endpoints| endpoints);
                     let mut of_route = listed.iter().filter(|&&id| self.route_of(id) == Some(call.route));
@@ -649,10 +661,11 @@
     /// had been idle raises a suspicion, which the next call there, on a new connection, resolves: if it is
     /// served, the connection was at fault; if it fails, the endpoint is. Once stale connections are
     /// frequent, all endpoints under suspicion are cleared.
-    fn is_connection_fault(&mut self, call: &Call, outcome: Outcome) -> bool {
+    fn is_connection_fault(&mut self, call: &Call, outcome: AttemptOutcome) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return false };
-        let served = outcome == Outcome::Served;
-        let unanswered = matches!(outcome, Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled);
+        let served = outcome == AttemptOutcome::Delivered;
+        let unanswered =
+            matches!(outcome, AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
         let share_before = self.stale_connection_share;
         if call.connection_idle == Micros(0) {
             if let Some(idle) = endpoint.failed_after_idle.take().filter(|_| served) {
@@ -665,11 +678,11 @@
         } else if unanswered && endpoint.failed_after_idle.is_none() {
             endpoint.failed_after_idle = Some(call.connection_idle);
             self.actions.push(Action::CloseIdle(call.endpoint));
-            if outcome == Outcome::Reset {
+            if outcome == AttemptOutcome::Reset {
                 self.stale_connection_share += STALE_SHARE_GAIN * (1.0 - self.stale_connection_share);
                 self.shortest_stale_idle = self.shortest_stale_idle.min(call.connection_idle);
             }
-            return outcome == Outcome::Reset || share_before > STALE_SHARE_THRESHOLD;
+            return outcome == AttemptOutcome::Reset || share_before > STALE_SHARE_THRESHOLD;
         }
         if share_before <= STALE_SHARE_THRESHOLD && self.stale_connection_share > STALE_SHARE_THRESHOLD {
             let suspects = self.endpoints.iter().filter(|(_, e)| e.failed_after_idle.is_some());
@@ -687,7 +700,7 @@
             endpoint.health.circuit = CircuitState::Closed;
             endpoint.failures_in_a_row = 0;
             route.health.circuit = CircuitState::Closed;
-            self.waiting.stir(endpoint.destination);
+            self.waiting.mark_changed(endpoint.destination);
         }
     }
 
@@ -700,9 +713,9 @@
         if lateness <= 0.0 {
             return class.worth;
         }
-        let remaining_share = match self.settings.fade {
-            Fade::Halves => 0.5f64.powf(lateness / class.aim.0.max(1) as f64),
-            Fade::Line => {
+        let remaining_share = match self.settings.worth_decay {
+            WorthDecay::Halving => 0.5f64.powf(lateness / class.target_time.0.max(1) as f64),
+            WorthDecay::Linear => {
                 let span = message.deadline.minus(message.target_at).0.max(1) as f64;
                 1.0 - (1.0 - class.late_share) * (lateness / span).min(1.0)
             }
@@ -734,23 +747,25 @@
     /// Sends the most urgent messages while there are slots. Considers the destinations that have changed,
     /// those that may accept a call again, and some that were ranked long ago.
     fn send_ready_messages(&mut self) {
-        self.waiting.wake(self.now);
+        self.waiting.end_backoffs(self.now);
         let slots = self.settings.slots as usize;
         let none_overdue =
-            self.overdue.first().is_none_or(|&(at, _)| at > self.now) || !self.settings.cancels;
+            self.overdue.first().is_none_or(|&(at, _)| at > self.now) || !self.settings.can_cancel;
         if self.calls.len() > slots || self.calls.len() == slots && none_overdue {
             return;
         }
         let is_next = |id: &MessageId| self.messages[id].ready_at <= self.now && self.is_next_of_key(*id);
         let next_of_keys: Vec<MessageId> = self.waiting.ordered.iter().copied().filter(is_next).collect();
         for &id in &next_of_keys {
-            self.waiting.give_turn(id, true);
+            self.waiting.set_key_turn(id, true);
         }
         let mut skipped = BTreeSet::new();
-        for destination in self.waiting.look_over(self.now, (RANK_ALL_UP_TO, RERANKED_PER_ITERATION)) {
+        for destination in
+            self.waiting.destinations_to_rank(self.now, (RANK_ALL_UP_TO, RERANKED_PER_ITERATION))
+        {
             self.rank_destination(destination, &skipped);
         }
-        while let Some((destination, id, ranked_at)) = self.waiting.next(&mut self.scheduler) {
+        while let Some((destination, id, ranked_at)) = self.waiting.next_message(&mut self.scheduler) {
             if ranked_at < self.now {
                 self.rank_destination(destination, &skipped);
                 continue;
@@ -778,16 +793,16 @@
             }
             self.rank_destination(destination, &skipped);
         }
-        for tenant in self.waiting.blocked(&self.scheduler) {
+        for tenant in self.waiting.blocked_tenants(&self.scheduler) {
             self.cancel_overdue_call(self.cancellable_call_of(tenant));
         }
         for &id in &next_of_keys {
-            self.waiting.give_turn(id, false);
+            self.waiting.set_key_turn(id, false);
         }
         // Messages that could not be sent where others could are considered again in the next iteration.
         for id in skipped {
             if let Some(message) = self.messages.get(&id) {
-                self.waiting.stir(message.destination);
+                self.waiting.mark_changed(message.destination);
             }
         }
     }
@@ -803,8 +818,8 @@
                 None => {}
             }
         }
-        self.waiting.opens_at(destination, check_at);
-        self.waiting.best.set(destination, best, self.now);
+        self.waiting.set_opening(destination, check_at);
+        self.waiting.ranking.set(destination, best, self.now);
     }
 
     /// The most urgent message of each tenant at a destination, with its urgency; of equals, the oldest.
@@ -817,7 +832,7 @@
         let unsafe_factor =
             if self.is_half_open(destination) { HALF_OPEN_UNSAFE_URGENCY_FACTOR } else { 1.0 };
         let mut best = BTreeMap::new();
-        for (class, id) in self.waiting.contenders(destination, times, skipped) {
+        for (class, id) in self.waiting.candidates(destination, times, skipped) {
             let is_unsafe = self.settings.classes[class].effect == Effect::Unsafe;
             let message = &self.messages[&id];
             let factor = if is_unsafe { unsafe_factor } else { 1.0 };
@@ -829,7 +844,9 @@
         // the time that it has left.
         let all_sent_by = self.untried_sent_by(destination, times.1);
         for (&tenant, best) in best.iter_mut() {
-            let Some((id, deadline)) = self.waiting.untried(destination, tenant, skipped) else { continue };
+            let Some((id, deadline)) = self.waiting.first_recovered(destination, tenant, skipped) else {
+                continue;
+            };
             let class = &self.settings.classes[self.messages[&id].class];
             let held_back = unsafe_factor < 1.0 && class.effect == Effect::Unsafe;
             let sent_by = if held_back { times.1 } else { all_sent_by };
@@ -854,7 +871,7 @@
             call.tenant == tenant && call.messages.iter().all(is_repeatable) && is_unproven(call)
         };
         let call = self.overdue.iter().find(|(_, number)| is_cancellable(&self.calls[number])).copied();
-        call.filter(|_| self.settings.cancels)
+        call.filter(|_| self.settings.can_cancel)
     }
 
     /// Cancels a call if it is overdue, to free its slot for a message that could be sent.
@@ -1001,7 +1018,7 @@
         }
         let Message { tenant, destination, .. } = self.messages[&first];
         let expected_duration = self.delivery_times(destination).0.minus(now);
-        self.scheduler.opened(tenant, expected_duration);
+        self.scheduler.call_started(tenant, expected_duration);
         Call {
             endpoint: id,
             route: route_id,
@@ -1040,7 +1057,8 @@
 
     // ---- The guards of the six rules ----
 
-    /// Rule 5: the message is the first of its order key, and the key has no backoff for the sake of another message.
+    /// Rule 5: the message is the first of its order key, and the key has no backoff because of another
+    /// message.
     fn is_next_of_key(&self, id: MessageId) -> bool {
         let Some(queue) = self.messages[&id].key.and_then(|key| self.keys.get(&key)) else { return true };
         let is_backing_off = queue.backoff_until > self.now && queue.backoff_exempt != Some(id);
@@ -1107,13 +1125,17 @@
         // A time-out pays only if another attempt may follow, and hardly ever before the target time. An
         // unsafe message waits until its deadline, unless its slot is needed (see `cancel_overdue_call`).
         let class = &self.settings.classes[message.class];
-        let repeatable_timeout = usual_timeout.map_or(time_left, |usual| usual.max(class.aim).min(time_left));
+        let repeatable_timeout =
+            usual_timeout.map_or(time_left, |usual| usual.max(class.target_time).min(time_left));
         let is_unsafe = class.effect == Effect::Unsafe;
-        let timeout = if is_unsafe && self.settings.cancels { time_left } else { repeatable_timeout };
+        let timeout = if is_unsafe && self.settings.can_cancel { time_left } else { repeatable_timeout };
         // While the usual duration of calls is unknown, a call that lasts longer than the target time may
         // hang.
-        let overdue_after =
-            if is_unsafe { repeatable_timeout } else { usual_timeout.unwrap_or(class.aim).min(time_left) };
+        let overdue_after = if is_unsafe {
+            repeatable_timeout
+        } else {
+            usual_timeout.unwrap_or(class.target_time).min(time_left)
+        };
         let overdue_at = self.now.plus(overdue_after);
         call.has_first_attempt |= message.transmissions == 0;
         call.unfinished += 1;
@@ -1123,7 +1145,7 @@
         message.attempts += 1;
         message.transmissions += 1;
         call.messages.push(id);
-        self.waiting.take(id);
+        self.waiting.remove(id);
         self.actions.push(Action::Send { id, endpoint: call.endpoint, timeout, leaves_by });
         true
     }
@@ -1142,7 +1164,7 @@
         };
         if harmless {
             let retry_after = self.retry_after(message.destination);
-            self.actions.push(Action::Refuse { id, retry_after });
+            self.actions.push(Action::Reject { id, retry_after });
         } else {
             self.actions.push(Action::Fail(id));
         }
@@ -1165,7 +1187,7 @@
             return;
         }
         let key = message.key;
-        self.waiting.take(id);
+        self.waiting.remove(id);
         self.messages.remove(&id);
         if let Some(queue) = key.and_then(|key| self.keys.get_mut(&key)) {
             queue.order.retain(|&other| other != id);
@@ -1174,7 +1196,7 @@
 
     /// Ends the waiting messages whose time is over.
     fn end_expired_messages(&mut self) {
-        for id in self.waiting.ended(self.now) {
+        for id in self.waiting.due_for_outcome(self.now) {
             let Some(message) = self.messages.get(&id) else { continue };
             let is_listed = self.listed.contains_key(&message.destination);
             let expired = message.deadline <= self.now.plus(TIMER_GRANULARITY)
@@ -1192,7 +1214,7 @@
     /// of least worth first. A message accepted earlier is owed an attempt, and stays.
     fn reject_over_capacity(&mut self) {
         let submitted = std::mem::take(&mut self.submitted);
-        let capacity = f64::from(self.settings.max_open);
+        let capacity = f64::from(self.settings.max_messages);
         if submitted.is_empty() || self.messages.len() as f64 <= capacity * CAPACITY_SHARE_FOR_ANY_WORTH {
             return;
         }
--- a/src/choice/upkeep.rs
+++ b/src/choice/upkeep.rs
@@ -39,7 +39,7 @@
         let initial_rate = self.forwarders.initial_rate;
         self.forwarders = match count {
             Some(count) => Forwarders { count: count.max(1.0), observed: true, initial_rate },
-            None => Forwarders { initial_rate, ..Forwarders::from_settings(self.settings.senders) },
+            None => Forwarders { initial_rate, ..Forwarders::from_settings(self.settings.forwarders) },
         };
     }
 
@@ -67,15 +67,15 @@
         let subscribe_at = settings.must_subscribe.then_some(Micros(0));
         let failed_connects = vec![DecayingCount::default(); settings.kinds.len()];
         let total_quota = settings.tenants.iter().sum();
-        let mut scheduler = Gate::default();
+        let mut scheduler = FairScheduler::default();
         scheduler.configure(settings.slots, &settings.isolation);
         Dispatcher {
             scheduler,
-            forwarders: Forwarders::from_settings(settings.senders),
+            forwarders: Forwarders::from_settings(settings.forwarders),
             settings,
             random: fastrand::Rng::with_seed(seed),
             messages: BTreeMap::new(),
-            waiting: Waiting::default(),
+            waiting: WaitingMessages::default(),
             calls: BTreeMap::new(),
             overdue: BTreeSet::new(),
             revisit_from: None,
@@ -115,7 +115,7 @@
     /// The route that calls to an endpoint count for.
     pub(super) fn route_of(&self, endpoint: EndpointId) -> Option<RouteId> {
         let known = self.endpoints.get(&endpoint)?;
-        let apart = self.settings.kinds.get(known.kind).is_some_and(|kind| kind.routes_apart);
+        let apart = self.settings.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
         Some((known.destination, apart.then_some(endpoint)))
     }
 
@@ -167,7 +167,7 @@
     pub(super) fn request_wake_up(&mut self) {
         self.wake_at = self.wake_at.filter(|&at| at > self.now);
         let never = Micros(u64::MAX);
-        let (ends, goes) = self.waiting.due(&self.scheduler);
+        let (ends, goes) = self.waiting.next_due(&self.scheduler);
         let slot_at = match self.calls.len().cmp(&(self.settings.slots as usize)) {
             std::cmp::Ordering::Less => self.now,
             std::cmp::Ordering::Equal => self.overdue.first().map_or(never, |&(at, _)| at),
@@ -177,7 +177,7 @@
         due = due.min(ends.unwrap_or(never));
         due = due.min(goes.unwrap_or(never).max(slot_at));
         due = due.min(self.revisit_from.map_or(never, |_| self.now));
-        let blocked = self.waiting.blocked(&self.scheduler).into_iter();
+        let blocked = self.waiting.blocked_tenants(&self.scheduler).into_iter();
         let cancellable = blocked.filter_map(|tenant| self.cancellable_call_of(tenant));
         let cancellable_at = cancellable.map(|(at, _)| at).min();
         due = due.min(cancellable_at.unwrap_or(never));
@@ -212,10 +212,19 @@
             ends_at = self.now;
         }
         let ordered = key.is_some();
-        let found = message.recovered && message.transmissions == 0;
-        let spot =
-            Spot { destination, class, tenant, aim: target_at, deadline, ends_at, ready_at, ordered, found };
-        self.waiting.put(id, spot, self.now);
+        let recovered = message.recovered && message.transmissions == 0;
+        let entry = WaitingMessage {
+            destination,
+            class,
+            tenant,
+            target_time: target_at,
+            deadline,
+            ends_at,
+            ready_at,
+            ordered,
+            recovered,
+        };
+        self.waiting.insert(id, entry, self.now);
     }
 
     /// Applies changed settings. Messages that were accepted stay accepted, also above a lowered limit: a
@@ -232,7 +241,7 @@
         self.failed_connects.resize(settings.kinds.len(), DecayingCount::default());
         self.total_quota = settings.tenants.iter().sum();
         if !self.forwarders.observed {
-            self.forwarders = Forwarders::from_settings(settings.senders);
+            self.forwarders = Forwarders::from_settings(settings.forwarders);
         }
         self.settings = settings;
         self.scheduler.configure(self.settings.slots, &self.settings.isolation);
@@ -242,7 +251,7 @@
     /// iteration.
     pub(super) fn revisit_messages(&mut self) {
         let Some(from) = self.revisit_from else { return };
-        let batch = self.waiting.from(from, REVISITED_PER_ITERATION);
+        let batch = self.waiting.ids_from(from, REVISITED_PER_ITERATION);
         let last = batch.last().filter(|_| batch.len() == REVISITED_PER_ITERATION);
         self.revisit_from = last.map(|last| MessageId(last.0.saturating_add(1)));
         for id in batch {
@@ -253,29 +262,29 @@
     }
 
     /// Applies an update of the endpoint list.
-    pub(super) fn update_endpoints(&mut self, scope: ListScope, members: Vec<Member>) {
+    pub(super) fn update_endpoints(&mut self, scope: ListScope, records: Vec<EndpointRecord>) {
         if scope == ListScope::Failed {
             self.subscribe_at = self.settings.must_subscribe.then(|| self.now.plus(SUBSCRIBE_RETRY_DELAY));
             return;
         }
         if scope != ListScope::Changes {
-            let named: BTreeSet<EndpointId> = members.iter().map(|m| m.endpoint).collect();
+            let named: BTreeSet<EndpointId> = records.iter().map(|record| record.endpoint).collect();
             for (id, endpoint) in &mut self.endpoints {
                 if !named.contains(id) {
                     endpoint.not_ready_since.get_or_insert(self.now);
                 }
             }
         }
-        for member in members {
-            let known = self.endpoints.entry(member.endpoint).or_insert_with(|| Endpoint {
-                destination: member.destination,
-                zone: member.zone,
-                kind: member.kind,
+        for record in records {
+            let known = self.endpoints.entry(record.endpoint).or_insert_with(|| Endpoint {
+                destination: record.destination,
+                zone: record.zone,
+                kind: record.kind,
                 ..Endpoint::default()
             });
-            if member.lifecycle == Lifecycle::Ready {
+            if record.lifecycle == Lifecycle::Ready {
                 known.not_ready_since = None;
-                known.weight = if member.weight.is_finite() { member.weight.max(0.0) } else { 0.0 };
+                known.weight = if record.weight.is_finite() { record.weight.max(0.0) } else { 0.0 };
             } else {
                 known.not_ready_since.get_or_insert(self.now);
             }
@@ -285,12 +294,12 @@
             self.listed.entry(endpoint.destination).or_default().push(id);
         }
         for &destination in before.keys().chain(self.listed.keys()) {
-            self.waiting.stir(destination);
+            self.waiting.mark_changed(destination);
         }
         // Messages for a destination that has lost its last endpoint get less time.
         let unlisted = before.into_keys().filter(|known| !self.listed.contains_key(known));
         for destination in unlisted.collect::<Vec<_>>() {
-            for id in self.waiting.of(destination) {
+            for id in self.waiting.ids_of(destination) {
                 self.enqueue(id);
             }
         }
@@ -327,8 +336,8 @@
     /// rate of calls since the start, or the recent one. Returns `from` if there are none, or if no time has
     /// passed to measure a rate.
     pub(super) fn untried_sent_by(&self, destination: DestinationId, from: Micros) -> Micros {
-        let Some(one) = self.waiting.untried_of(destination).next() else { return from };
-        let count = self.waiting.untried_of(destination).count();
+        let Some(one) = self.waiting.recovered_of(destination).next() else { return from };
+        let count = self.waiting.recovered_of(destination).count();
         let endpoints = self.listed.get(&destination).into_iter().flatten();
         let route_ids: BTreeSet<RouteId> = endpoints.filter_map(|&id| self.route_of(id)).collect();
         let routes = route_ids.iter().filter_map(|id| self.routes.get(id));
--- a/src/choice/upkeep/handover.rs
+++ b/src/choice/upkeep/handover.rs
@@ -121,7 +121,7 @@
         }
         for (&number, call) in &next.calls {
             next.overdue.insert((call.overdue_at, number));
-            next.scheduler.opened(call.tenant, call.expected_duration);
+            next.scheduler.call_started(call.tenant, call.expected_duration);
         }
         for id in next.messages.keys().copied().collect::<Vec<_>>() {
             next.enqueue(id);
