--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -18,8 +18,8 @@
 use crate::tenancy::intake::{AdmissionControl, AdmissionError};
 use crate::tenancy::share::{Bounds, ShareError};
 use crate::{
-    Action, DestinationId, Dispatcher, EndpointId, EndpointRecord, Event, FirstPace, Lifecycle, ListScope,
-    Submission,
+    Action, DestinationId, Dispatcher, EndpointId, EndpointRecord, Event, InitialSendRate, Lifecycle,
+    ListScope, Submission,
 };
 use crate::{AttemptHistory, AttemptOutcome, MessageId, Micros, Settings};
 use figures::Figures;
@@ -222,12 +222,12 @@
 
     /// So many senders share the real servers, as observed (see `docs/membership.md`); none, as the settings say.
     pub fn shared_by(&mut self, senders: Option<f64>) {
-        self.dispatcher.shared_by(senders);
+        self.dispatcher.set_forwarder_count(senders);
     }
 
     /// While this one starts among others, what it begins with at each destination.
-    pub fn begins_with(&mut self, first: Option<FirstPace>) {
-        self.dispatcher.begins_with(first);
+    pub fn begins_with(&mut self, first: Option<InitialSendRate>) {
+        self.dispatcher.set_initial_rate(first);
     }
 
     /// Parts what can be held among the tenants. Cost: the tenants.
@@ -385,7 +385,7 @@
 
     /// Listed endpoints that are avoided. Cost: the endpoints listed.
     pub fn avoided(&self) -> usize {
-        self.dispatcher.avoided()
+        self.dispatcher.open_circuits()
     }
 
     /// Flows that are open, or whose end is still to be told.
