--- a/src/settings.rs
+++ b/src/settings.rs
@@ -90,7 +90,7 @@
 pub fn from_pairs<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Settings, String> {
     let pairs = Pairs(pairs.collect());
     let classes = (0..pairs.required::<usize>("requestClasses.count")?)
-        .map(|index| class(&pairs, &format!("requestClasses.{index}.")))
+        .map(|index| parse_class(&pairs, &format!("requestClasses.{index}.")))
         .collect::<Result<_, _>>()?;
     let batches = pairs.list::<u32>("domain.batchByKind")?;
     let separate_routes = pairs.list::<bool>("domain.ownLimits")?;
@@ -137,7 +137,7 @@
     })
 }
 
-fn class(pairs: &Pairs, prefix: &str) -> Result<ClassSettings, String> {
+fn parse_class(pairs: &Pairs, prefix: &str) -> Result<ClassSettings, String> {
     let path = |name: &str| format!("{prefix}{name}");
     let effect = match pairs.required::<String>(&path("effect"))?.as_str() {
         "retryable" => Effect::Safe,
--- a/src/tenancy/gate.rs
+++ b/src/tenancy/gate.rs
@@ -46,11 +46,11 @@
 impl FairScheduler {
     /// Replaces the bounds and weights, by tenant index. Calls in flight are unaffected.
     pub fn configure(&mut self, slots: u32, isolation: &[Isolation]) {
-        let limits: Vec<_> = isolation.iter().map(|one| (one.weight, one.slots)).collect();
+        let limits: Vec<_> = isolation.iter().map(|tenant| (tenant.weight, tenant.slots)).collect();
         self.slots.configure(slots.into(), &bounds(slots.into(), &limits));
-        let active = isolation.iter().filter(|one| one.weight > 0.0);
-        let mean = active.clone().map(|one| one.weight).sum::<f64>() / active.count().max(1) as f64;
-        let weight = |one: &Isolation| (one.weight / mean).clamp(1e-3, 1e3);
+        let active = isolation.iter().filter(|tenant| tenant.weight > 0.0);
+        let mean = active.clone().map(|tenant| tenant.weight).sum::<f64>() / active.count().max(1) as f64;
+        let weight = |tenant: &Isolation| (tenant.weight / mean).clamp(1e-3, 1e3);
         self.weights = isolation.iter().map(weight).collect();
     }
 
--- a/src/tenancy/gate/tests.rs
+++ b/src/tenancy/gate/tests.rs
@@ -63,8 +63,9 @@
 #[test]
 fn slots_without_guarantees_are_divided_by_weight() {
     let limits = ShareLimits { guarantee: Some(0), ceiling: None };
-    let one = |weight| Isolation { weight, slots: limits, ..Isolation::default() };
-    let mean = mean_slots(60, &[one(1.0), one(2.0), one(3.0)], &[99, 99, 99], &[200, 200, 200]);
+    let weighted = |weight| Isolation { weight, slots: limits, ..Isolation::default() };
+    let mean =
+        mean_slots(60, &[weighted(1.0), weighted(2.0), weighted(3.0)], &[99, 99, 99], &[200, 200, 200]);
     for (tenant, expected) in [10.0, 20.0, 30.0].into_iter().enumerate() {
         assert!((mean[tenant] - expected).abs() < 1.5, "{mean:?}");
     }
@@ -86,8 +87,8 @@
     ) {
         let isolation: Vec<_> =
             tenants.iter().map(|&(weight, ..)| Isolation { weight, ..Isolation::default() }).collect();
-        let demand: Vec<u32> = tenants.iter().map(|one| one.1).collect();
-        let calls: Vec<u64> = tenants.iter().map(|one| one.2).collect();
+        let demand: Vec<u32> = tenants.iter().map(|tenant| tenant.1).collect();
+        let calls: Vec<u64> = tenants.iter().map(|tenant| tenant.2).collect();
         let mean = mean_slots(slots, &isolation, &demand, &calls);
         let usable = demand.iter().sum::<u32>().min(slots);
         let reserved: f64 = f64::from(slots) * 0.25;
--- a/src/tenancy/intake.rs
+++ b/src/tenancy/intake.rs
@@ -35,11 +35,11 @@
     /// index.
     pub fn configure(&mut self, (held, bytes): (u64, u64), isolation: &[Isolation]) {
         let limits = |resource: fn(&Isolation) -> ShareLimits| -> Vec<(f64, ShareLimits)> {
-            isolation.iter().map(|one| (one.weight, resource(one))).collect()
+            isolation.iter().map(|tenant| (tenant.weight, resource(tenant))).collect()
         };
-        self.held.configure(held, &bounds(held, &limits(|one| one.held)));
-        self.bytes.configure(bytes, &bounds(bytes, &limits(|one| one.bytes)));
-        self.arrivals.configure(isolation.iter().map(|one| one.arrivals).collect());
+        self.held.configure(held, &bounds(held, &limits(|tenant| tenant.held)));
+        self.bytes.configure(bytes, &bounds(bytes, &limits(|tenant| tenant.bytes)));
+        self.arrivals.configure(isolation.iter().map(|tenant| tenant.arrivals).collect());
     }
 
     /// Admits a message of `bytes` or returns the reason against it; `has_capacity` is whether there is
--- a/src/tenancy/share/tests.rs
+++ b/src/tenancy/share/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn equal(size: u64, tenants: usize) -> Shares {
+fn equal_shares(size: u64, tenants: usize) -> Shares {
     let mut shares = Shares::default();
     shares.configure(size, &bounds(size, &vec![(1.0, ShareLimits::default()); tenants]));
     shares
@@ -9,26 +9,26 @@
 
 #[test]
 fn single_tenant_gets_everything_and_one_of_two_never_gets_the_others_reserve() {
-    let mut one = equal(10, 1);
+    let mut single = equal_shares(10, 1);
     (0..10).for_each(|_| {
-        one.check(0, 1).unwrap();
-        one.acquire(0, 1);
+        single.check(0, 1).unwrap();
+        single.acquire(0, 1);
     });
-    assert_eq!(one.check(0, 1), Err(ShareError::Exhausted));
-    let mut two = equal(40, 2);
-    while two.check(0, 1).is_ok() {
-        two.acquire(0, 1);
+    assert_eq!(single.check(0, 1), Err(ShareError::Exhausted));
+    let mut shared = equal_shares(40, 2);
+    while shared.check(0, 1).is_ok() {
+        shared.acquire(0, 1);
     }
     // Its own guarantee of 20 and the part of the other's 20 that may be lent: all but a quarter.
-    assert_eq!((two.used(0), two.check(0, 1)), (35, Err(ShareError::Reserved)));
+    assert_eq!((shared.used(0), shared.check(0, 1)), (35, Err(ShareError::Reserved)));
     (0..5).for_each(|_| {
-        two.check(1, 1).unwrap();
-        two.acquire(1, 1);
+        shared.check(1, 1).unwrap();
+        shared.acquire(1, 1);
     });
     // What is lent beyond the reserve becomes available to its owner when the borrower releases it.
-    assert_eq!(two.check(1, 1), Err(ShareError::Exhausted));
-    two.release(0, 1);
-    assert_eq!((two.check(0, 1), two.check(1, 1)), (Ok(()), Ok(())));
+    assert_eq!(shared.check(1, 1), Err(ShareError::Exhausted));
+    shared.release(0, 1);
+    assert_eq!((shared.check(0, 1), shared.check(1, 1)), (Ok(()), Ok(())));
 }
 
 #[test]
