--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -396,13 +396,13 @@
             }
             mates.node.hold(mates.lists.holding());
             if mates.lists.confirmed().is_some_and(|at| now.minus(at) < FRESH) {
-                self.life.confirmed();
+                self.life.list_confirmed();
             }
         }
         let held = self.mates.as_ref().is_some_and(|mates| mates.lists.holding().is_some());
         if !self.knows && (answered || held) {
             self.listed(world, ListScope::Whole);
-            self.life.listed();
+            self.life.list_received();
         }
         self.life.tick(now);
         if self.life.can_serve() && !std::mem::replace(&mut self.ready, true) && self.counted {
@@ -499,7 +499,7 @@
         while self.next_message <= now && self.next_message < world.until {
             let pause = (2.0 * self.random.f64() * world.every.0 as f64) as u64;
             self.next_message = self.next_message.plus(Micros(pause.max(1)));
-            if !self.life.takes_clients() {
+            if !self.life.accepts_clients() {
                 continue;
             }
             let to = self.random.usize(0..world.endpoints.len());
--- a/src/lab/maintenance.rs
+++ b/src/lab/maintenance.rs
@@ -188,7 +188,7 @@
         let draining = self.life.stage() == Stage::Draining;
         let drained = draining && self.drained_at.is_some_and(|at| now >= at);
         let process = ProcessState {
-            in_service: self.life.takes_clients(),
+            in_service: self.life.accepts_clients(),
             settled: now >= self.began.plus(SETTLES),
             draining,
             drained,
@@ -396,7 +396,8 @@
             report.max_out_at_once = report.max_out_at_once.max(count);
             report.violations += usize::from(count > plan.at_once as usize);
             let serving = (0..n).filter(|&index| {
-                stopped[index].is_none() && fleet[index].as_ref().is_some_and(|one| one.life.takes_clients())
+                stopped[index].is_none()
+                    && fleet[index].as_ref().is_some_and(|one| one.life.accepts_clients())
             });
             if asked.is_some() {
                 report.capacity_min_share = report.capacity_min_share.min(serving.count() as f64 / n as f64);
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,6 +1,7 @@
-//! Where a process stands between its start and its end: starting, serving, draining, stopping, or followed by another that
-//! it has handed everything to. One machine without sockets says for all of them what `/ready` answers, how clients are sent
-//! away, whether calls may begin, and when the process is done.
+//! The stages of a process between its start and its end: starting, serving, draining, stopping, or
+//! handed over to a successor. This state machine uses no sockets. It decides what `/ready`
+//! answers, how client connections are closed, whether calls may begin, and when the process may
+//! exit.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -8,225 +9,236 @@
 #[cfg(test)]
 mod tests;
 
-/// For so long after a drain began nothing but `/ready` tells of it: the front has not heard yet, and goes on sending
-/// new connections.
-const UNHEARD: Micros = Micros(400_000);
-/// From then on, connections that are not used are closed, first those unused for longest...
-const CLOSE_UNUSED: Micros = Micros(2_500_000);
-/// ...and by then all are: half a second before staff expect it.
-const CLOSED: Micros = Micros(3_500_000);
-/// Once told to stop, calls may begin for so long...
-const LAST_CALL: Micros = Micros(2_000_000);
-/// ...and after so long clients are sent away. Not sooner: one who finds nobody may not come again. Whoever waits is let in,
-/// what is read is answered, and each connection ends so that its client has all that was written to it...
-const SENT_AWAY: Micros = Micros(3_400_000);
-/// ...until then, at the latest. Calls still out are left to the next process: SIGKILL is near.
-const STOPPED: Micros = Micros(3_600_000);
-
-/// What becomes of the connections of clients.
+/// After the start of a drain, only `/ready` reports it for this time: the front has not noticed it
+/// yet and still opens new connections.
+const DRAIN_NOTICE_DELAY: Micros = Micros(400_000);
+/// Time after the start of a drain from which idle connections are closed, those idle for longest
+/// first.
+const CLOSE_IDLE_AFTER: Micros = Micros(2_500_000);
+/// Time after the start of a drain by which all idle connections are closed: half a second before
+/// operators expect it.
+const ALL_IDLE_CLOSED_AFTER: Micros = Micros(3_500_000);
+/// After a stop, calls may begin for this time.
+const NO_NEW_CALLS_AFTER: Micros = Micros(2_000_000);
+/// Time after a stop at which all client connections end. Not earlier: a client that finds no
+/// forwarder may not come back. Clients that wait to connect are accepted until then, requests that
+/// have been read are answered, and each connection ends only once its client has received all that
+/// was written to it.
+const CLOSE_ALL_AFTER: Micros = Micros(3_400_000);
+/// Time after a stop by which the process exits, as SIGKILL is near. Calls in progress are left to
+/// the next process.
+const EXIT_AFTER: Micros = Micros(3_600_000);
+
+/// What happens to client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
-    /// They stay.
-    Kept,
-    /// Each ends behind its next answer.
-    EndAnswered,
-    /// Those unused for so long end, too.
-    EndUnused(Micros),
-    /// All end, and nobody is let in any more.
-    End,
+    /// They stay open.
+    KeepOpen,
+    /// Each closes after its next response.
+    CloseAfterResponse,
+    /// In addition, those that have been idle for this time close.
+    CloseIdle(Micros),
+    /// All close, and no new connections are accepted.
+    CloseAll,
 }
 
-/// What a start still waits for.
+/// What a start waits for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 enum Start {
-    /// No list of service entries is known: nothing could be sent anywhere.
+    /// No endpoint list is known: no message could be sent.
     NoList,
-    /// One from before is known, which nobody has confirmed lately: it serves once somebody does, or after this moment.
-    Doubtful(Micros),
-    /// Nothing: it can serve.
+    /// A cached endpoint list is known, but discovery has not confirmed it lately. The process serves
+    /// once it is confirmed, or after this time.
+    #[serde(rename = "Doubtful")]
+    Unconfirmed(Micros),
+    /// Nothing: the process can serve.
     #[default]
-    Over,
+    #[serde(rename = "Over")]
+    Complete,
 }
 
-/// In one word, for those who look.
+/// Stage of the process, as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Not yet: it waits for a list.
+    /// It waits for an endpoint list.
     Starting,
-    /// Clients are to come.
+    /// It accepts clients.
     Serving,
-    /// Clients are sent away; the process runs on.
+    /// Client connections are closed step by step; the process keeps running.
     Draining,
-    /// It ends soon.
+    /// It exits soon.
     Stopping,
-    /// Another process has all that was held.
-    Followed,
+    /// A successor has taken over all messages and connections.
+    HandedOver,
 }
 
 impl Stage {
-    /// The word.
-    pub fn word(self) -> &'static str {
+    /// The stage's name in answers and figures.
+    pub fn name(self) -> &'static str {
         match self {
             Stage::Starting => "starting",
             Stage::Serving => "serving",
             Stage::Draining => "draining",
             Stage::Stopping => "stopping",
-            Stage::Followed => "followed",
+            Stage::HandedOver => "followed",
         }
     }
 }
 
-/// It cannot go back to work: it is stopping, or another process has followed it.
+/// A drain cannot be ended: the process is stopping, or a successor has taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoWayBack(pub Stage);
+pub struct CannotEndDrain(pub Stage);
 
-/// See the module's text. Drain and stop are told apart from each other: either may come while the other is on.
+/// State of the process. Drain and stop are independent: either may begin during the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lifecycle {
-    /// Told by none that was handed over by a version before this.
+    /// Absent in the handover from earlier versions.
     #[serde(default)]
     start: Start,
     drain: Option<Micros>,
     stop: Option<Micros>,
-    followed: bool,
+    #[serde(rename = "followed")]
+    handed_over: bool,
 }
 
 impl Lifecycle {
-    /// A process that begins now, and knows a list from before, or none. One that nobody has confirmed lately waits for a
-    /// word on it as long as is told.
-    pub fn begin(now: Micros, known: bool, doubt: Option<Micros>) -> Lifecycle {
-        let start = match (known, doubt) {
+    /// State at the start of a process. `known`: an endpoint list is known. `confirm_within`: the list has not
+    /// been confirmed lately; the process waits for a confirmation for at most this time.
+    pub fn begin(now: Micros, known: bool, confirm_within: Option<Micros>) -> Lifecycle {
+        let start = match (known, confirm_within) {
             (false, _) => Start::NoList,
-            (true, Some(longest)) => Start::Doubtful(now.plus(longest)),
-            (true, None) => Start::Over,
+            (true, Some(longest)) => Start::Unconfirmed(now.plus(longest)),
+            (true, None) => Start::Complete,
         };
         Lifecycle { start, ..Lifecycle::default() }
     }
 
-    /// A list has come, or the one from before was confirmed: the start is over.
-    pub fn listed(&mut self) {
-        self.start = Start::Over;
+    /// An endpoint list has arrived, or the cached one was confirmed: the start is over.
+    pub fn list_received(&mut self) {
+        self.start = Start::Complete;
     }
 
-    /// A list from before was confirmed: it serves. One that never came cannot be.
-    pub fn confirmed(&mut self) {
-        if matches!(self.start, Start::Doubtful(_)) {
-            self.start = Start::Over;
+    /// A cached list was confirmed: the process serves. Has no effect if there is no list.
+    pub fn list_confirmed(&mut self) {
+        if matches!(self.start, Start::Unconfirmed(_)) {
+            self.start = Start::Complete;
         }
     }
 
-    /// Time passes: a list that nobody confirms serves all the same.
+    /// Advances time: the process serves from an unconfirmed list once it has waited long enough.
     pub fn tick(&mut self, now: Micros) {
-        if matches!(self.start, Start::Doubtful(until) if now >= until) {
-            self.start = Start::Over;
+        if matches!(self.start, Start::Unconfirmed(until) if now >= until) {
+            self.start = Start::Complete;
         }
     }
 
-    /// It has what it needs to serve, whether clients are to come or not.
+    /// Whether the start is over, so that the process can serve; a drain or stop may still keep clients
+    /// away.
     pub fn can_serve(&self) -> bool {
-        self.start == Start::Over
+        self.start == Start::Complete
     }
 
-    /// A drain begins; tells whether there was none. Told again it changes nothing: its steps go on.
+    /// Begins a drain. Returns false if one is on already; its steps then go on unchanged.
     pub fn start_drain(&mut self, now: Micros) -> bool {
         let new = self.drain.is_none();
         self.drain.get_or_insert(now);
         new
     }
 
-    /// Back to work; tells whether there was a drain.
-    pub fn stop_drain(&mut self) -> Result<bool, NoWayBack> {
+    /// Ends the drain. Returns whether there was one.
+    pub fn stop_drain(&mut self) -> Result<bool, CannotEndDrain> {
         match self.stage() {
-            stage @ (Stage::Stopping | Stage::Followed) => Err(NoWayBack(stage)),
+            stage @ (Stage::Stopping | Stage::HandedOver) => Err(CannotEndDrain(stage)),
             Stage::Starting | Stage::Serving | Stage::Draining => Ok(self.drain.take().is_some()),
         }
     }
 
-    /// The process is to end. Told again it changes nothing.
+    /// Begins to stop the process. A repeated call changes nothing.
     pub fn stop(&mut self, now: Micros) {
         self.stop.get_or_insert(now);
     }
 
-    /// Another process has all that was held: nothing may be done for it here any more.
-    pub fn follow(&mut self) {
-        self.followed = true;
+    /// A successor has taken over all messages: nothing may be done for them here any more.
+    pub fn mark_handed_over(&mut self) {
+        self.handed_over = true;
     }
 
-    /// A list is known, whether it serves yet or not.
-    pub fn knows_a_list(&self) -> bool {
+    /// Whether an endpoint list is known, also if the process does not serve yet.
+    pub fn has_list(&self) -> bool {
         self.start != Start::NoList
     }
 
-    /// For the process that follows, which knows a list or not: a start and a drain go on there, a stop was this one's own.
-    pub fn inherited(self, known: bool) -> Lifecycle {
+    /// State for the successor, which knows an endpoint list or not. A start and a drain go on there; a
+    /// stop applies to this process only.
+    pub fn for_successor(self, known: bool) -> Lifecycle {
         let start = match (known, self.start) {
             (false, _) => Start::NoList,
-            (true, Start::NoList) => Start::Over,
+            (true, Start::NoList) => Start::Complete,
             (true, start) => start,
         };
         Lifecycle { start, drain: self.drain, ..Lifecycle::default() }
     }
 
-    /// Where it stands.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         match self {
-            Lifecycle { followed: true, .. } => Stage::Followed,
+            Lifecycle { handed_over: true, .. } => Stage::HandedOver,
             Lifecycle { stop: Some(_), .. } => Stage::Stopping,
             Lifecycle { drain: Some(_), .. } => Stage::Draining,
-            Lifecycle { start: Start::NoList | Start::Doubtful(_), .. } => Stage::Starting,
+            Lifecycle { start: Start::NoList | Start::Unconfirmed(_), .. } => Stage::Starting,
             _ => Stage::Serving,
         }
     }
 
-    /// Clients are to come: `/ready` may say yes.
-    pub fn takes_clients(&self) -> bool {
+    /// Whether the process accepts clients: `/ready` may answer yes.
+    pub fn accepts_clients(&self) -> bool {
         self.can_serve() && self.stage() == Stage::Serving
     }
 
-    /// The process is to end, or has nothing to do any more.
-    pub fn leaves(&self) -> bool {
-        matches!(self.stage(), Stage::Stopping | Stage::Followed)
+    /// Whether the process is stopping or has been handed over.
+    pub fn is_ending(&self) -> bool {
+        matches!(self.stage(), Stage::Stopping | Stage::HandedOver)
     }
 
-    /// What becomes of the connections of clients. A stop sends them away only at its end: what is taken on until then the
-    /// next process goes on with.
+    /// What happens to client connections now. A stop closes them only at its end: the next process
+    /// continues with the messages accepted until then.
     pub fn connections(&self, now: Micros) -> Connections {
-        if self.stop.is_some_and(|since| now >= since.plus(SENT_AWAY)) {
-            return Connections::End;
+        if self.stop.is_some_and(|since| now >= since.plus(CLOSE_ALL_AFTER)) {
+            return Connections::CloseAll;
         }
         match self.drain.map(|since| now.minus(since)) {
-            None => Connections::Kept,
-            Some(passed) if passed < UNHEARD => Connections::Kept,
-            Some(passed) if passed < CLOSE_UNUSED => Connections::EndAnswered,
-            Some(passed) => Connections::EndUnused(Micros(2 * CLOSED.minus(passed).0)),
+            None => Connections::KeepOpen,
+            Some(passed) if passed < DRAIN_NOTICE_DELAY => Connections::KeepOpen,
+            Some(passed) if passed < CLOSE_IDLE_AFTER => Connections::CloseAfterResponse,
+            Some(passed) => Connections::CloseIdle(Micros(2 * ALL_IDLE_CLOSED_AFTER.minus(passed).0)),
         }
     }
 
-    /// A drain has been on for as long as clients take to be sent away.
-    pub fn sent_away(&self, now: Micros) -> bool {
-        self.drain.is_some_and(|since| now >= since.plus(CLOSED))
+    /// Whether a drain has lasted long enough for all idle connections to be closed.
+    pub fn drain_complete(&self, now: Micros) -> bool {
+        self.drain.is_some_and(|since| now >= since.plus(ALL_IDLE_CLOSED_AFTER))
     }
 
-    /// Calls may begin.
+    /// Whether calls may begin.
     pub fn may_call(&self, now: Micros) -> bool {
-        !self.followed && self.stop.is_none_or(|since| now < since.plus(LAST_CALL))
+        !self.handed_over && self.stop.is_none_or(|since| now < since.plus(NO_NEW_CALLS_AFTER))
     }
 
-    /// The process may end; so many connections of clients are held still.
-    pub fn finished(&self, now: Micros, held: usize) -> bool {
-        let most = if held == 0 { SENT_AWAY } else { STOPPED };
-        self.stop.is_some_and(|since| self.followed || now >= since.plus(most))
+    /// Whether the process may exit while `open_connections` client connections are open.
+    pub fn may_exit(&self, now: Micros, open_connections: usize) -> bool {
+        let most = if open_connections == 0 { CLOSE_ALL_AFTER } else { EXIT_AFTER };
+        self.stop.is_some_and(|since| self.handed_over || now >= since.plus(most))
     }
 
-    /// When something of the above changes by itself.
+    /// Time of the next change that happens by itself.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let steps = |since: Option<Micros>, steps: [Micros; 3]| {
             let steps = steps.into_iter().filter_map(move |step| Some(since?.plus(step)));
             steps.filter(|&at| at > now).min()
         };
-        let drain = steps(self.drain, [UNHEARD, CLOSE_UNUSED, CLOSED]);
-        let stop = steps(self.stop, [LAST_CALL, SENT_AWAY, STOPPED]);
-        let start = if let Start::Doubtful(until) = self.start { Some(until) } else { None };
+        let drain = steps(self.drain, [DRAIN_NOTICE_DELAY, CLOSE_IDLE_AFTER, ALL_IDLE_CLOSED_AFTER]);
+        let stop = steps(self.stop, [NO_NEW_CALLS_AFTER, CLOSE_ALL_AFTER, EXIT_AFTER]);
+        let start = if let Start::Unconfirmed(until) = self.start { Some(until) } else { None };
         drain.into_iter().chain(stop).chain(start).min()
     }
 }
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -313,7 +313,7 @@
     }
 
     fn carry_out_ask(&mut self, ask: Ask, who: String, now: Micros) -> Result<Answer, Refusal> {
-        if self.life.leaves() {
+        if self.life.is_ending() {
             return Err(Refusal::new(503, "the process is stopping", "ask the one that follows"));
         }
         let told = |node: &Node| Answer::json(200, &status(&node.desk, now));
@@ -425,7 +425,7 @@
     }
 
     fn take_over(&mut self, document: String, now: Micros) {
-        if self.life.leaves() {
+        if self.life.is_ending() {
             return log!("configuration not read again: the process is stopping");
         }
         let base = match super::config::load() {
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -99,7 +99,7 @@
             swept_at: Micros(0),
             listener_failures: 0,
             is_ready: false,
-            fate: Connections::Kept,
+            fate: Connections::KeepOpen,
         }
     }
 
@@ -261,7 +261,7 @@
     }
 
     fn read_on(&mut self, poll: &Poll, token: u64, inputs: &mut Vec<Input>) {
-        let leaving = self.fate != Connections::Kept;
+        let leaving = self.fate != Connections::KeepOpen;
         let Some(edge) = self.edges.get_mut(&token) else { return };
         let now = edge.used_at;
         if (edge.life.answering() || !edge.stream.flushed()) && edge.stream.input.len() > MOST_WAITING {
@@ -339,7 +339,7 @@
     /// The core's reply to an offer. What came meanwhile on the connection is read on.
     pub fn reply(&mut self, poll: &Poll, token: Token, reply: Reply, inputs: &mut Vec<Input>) {
         let Some(edge) = self.edges.get_mut(&token) else { return };
-        edge.life.answered(edge.used_at, edge.leaving || self.fate != Connections::Kept);
+        edge.life.answered(edge.used_at, edge.leaving || self.fate != Connections::KeepOpen);
         let (status, after, body) = match reply {
             Reply::TakenOn => (202, None, ""),
             Reply::TurnDown(after) | Reply::Known(End::Deferred(after)) => (503, Some(after), ""),
@@ -385,9 +385,9 @@
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
         self.close_unused(now);
         match self.fate {
-            Connections::Kept | Connections::EndAnswered => {}
-            Connections::EndUnused(unused_for) => self.send_away(now, unused_for),
-            Connections::End => {
+            Connections::KeepOpen | Connections::CloseAfterResponse => {}
+            Connections::CloseIdle(unused_for) => self.send_away(now, unused_for),
+            Connections::CloseAll => {
                 // One that has brought nothing yet may have its request on the way: it stays to the process's end.
                 self.shut(poll, now);
                 self.end_resting(now);
@@ -413,7 +413,7 @@
     /// When [`Platform::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
         let sent_away = match self.fate {
-            Connections::EndUnused(_) | Connections::End if !self.edges.is_empty() => {
+            Connections::CloseIdle(_) | Connections::CloseAll if !self.edges.is_empty() => {
                 Some(self.swept_at.plus(SWEEP))
             }
             _ => None,
--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -56,8 +56,8 @@
 
     /// News of the list, from whichever source.
     pub(in crate::net) fn learn(&mut self, news: News) {
-        self.life.listed();
-        self.platform.is_ready = self.life.takes_clients();
+        self.life.list_received();
+        self.platform.is_ready = self.life.accepts_clients();
         self.book.learn(&news);
         let members = learn(&mut self.servers, &news);
         if news.whole {
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -159,7 +159,7 @@
             self.engine.starts_among(members.among().starting);
             self.watch.wanted = members.may_ask(now);
             if members.confirmed(now) {
-                self.life.confirmed();
+                self.life.list_confirmed();
             }
             self.hear_members();
             self.ramp_up(now);
@@ -192,8 +192,8 @@
         if self.hand_over(now) {
             return Next::Followed;
         }
-        if self.life.finished(now, self.platform.held())
-            && (self.life.stage() == Stage::Followed || !self.platform.unread())
+        if self.life.may_exit(now, self.platform.held())
+            && (self.life.stage() == Stage::HandedOver || !self.platform.unread())
         {
             Next::End
         } else {
@@ -301,7 +301,7 @@
     /// What the stage of the process's life asks for, in force from now on.
     pub(super) fn live(&mut self, now: Micros) {
         self.life.tick(now);
-        self.platform.is_ready = self.life.takes_clients();
+        self.platform.is_ready = self.life.accepts_clients();
         self.platform.fate = self.life.connections(now);
         if !self.life.may_call(now) && !std::mem::replace(&mut self.last_call, true) {
             self.inputs.push(Input::LastCall);
--- a/src/net/node/operations.rs
+++ b/src/net/node/operations.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::config::probation::Sums;
 use crate::engine::figures::Figures;
-use crate::lifecycle::{NoWayBack, Stage};
+use crate::lifecycle::{CannotEndDrain, Stage};
 use crate::maintenance::agent::ProcessState;
 use crate::net::admin::{self, View};
 use crate::net::maintenance::Order;
@@ -18,10 +18,10 @@
         let settled = self.ramp.as_ref().is_none_or(|ramp| ramp.settled(now)) && !self.engine.replays();
         let (life, outstanding, clients) = (&self.life, self.engine.outstanding(), self.platform.held());
         let facts = || ProcessState {
-            in_service: life.takes_clients(),
+            in_service: life.accepts_clients(),
             settled,
             draining: life.stage() == Stage::Draining,
-            drained: life.sent_away(now) && outstanding == 0 && clients == 0,
+            drained: life.drain_complete(now) && outstanding == 0 && clients == 0,
         };
         for order in members.maintain(now, facts) {
             match order {
@@ -73,7 +73,7 @@
                     }
                     ops::Answer::done(self.life.stage())
                 }
-                Err(NoWayBack(stage)) => ops::Answer::too_late(stage),
+                Err(CannotEndDrain(stage)) => ops::Answer::too_late(stage),
             },
         };
         self.live(now);
@@ -99,7 +99,7 @@
             "outstanding": self.engine.outstanding(),
             "discovered": self.book.0.len(),
             "ejected": self.engine.avoided(),
-            "stage": self.life.stage().word(),
+            "stage": self.life.stage().name(),
         });
         if let Some(members) = &self.members {
             figures["membership"] = members.figures(now);
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -281,7 +281,7 @@
         let starts = members.is_some() && handed.is_none();
         let ramp = starts.then(|| ramp(&engine, &model, seed, now));
         let begun = || Lifecycle::begin(now, first.is_ready, doubt);
-        let life = handed.as_ref().map_or_else(begun, |state| state.life.inherited(first.is_ready));
+        let life = handed.as_ref().map_or_else(begun, |state| state.life.for_successor(first.is_ready));
         if handed.is_some() {
             watch.follow(now);
         }
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -72,8 +72,8 @@
 
     /// Yes or no.
     pub fn readiness(life: &Lifecycle) -> Answer {
-        let word = if life.can_serve() { life.stage().word() } else { "no list of endpoints yet" };
-        Answer::plain(if life.can_serve() && !life.leaves() { 200 } else { 503 }, word)
+        let word = if life.can_serve() { life.stage().name() } else { "no list of endpoints yet" };
+        Answer::plain(if life.can_serve() && !life.is_ending() { 200 } else { 503 }, word)
     }
 
     /// The figures.
@@ -98,7 +98,7 @@
 
     /// Done, or done before.
     pub fn done(stage: Stage) -> Answer {
-        Answer::plain(200, stage.word())
+        Answer::plain(200, stage.name())
     }
 
     /// Another process holds the folder, and this one waits for it.
@@ -108,7 +108,7 @@
 
     /// It cannot be done in this stage.
     pub fn too_late(stage: Stage) -> Answer {
-        Answer::plain(409, stage.word())
+        Answer::plain(409, stage.name())
     }
 }
 
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -272,7 +272,7 @@
             Ok(()) => {
                 let took = began.elapsed().as_millis();
                 log!("upgrade: another process has followed this one, after {took} ms of standing still");
-                self.life.follow();
+                self.life.mark_handed_over();
                 true
             }
             Err(problem) => {
@@ -301,7 +301,7 @@
             wall: Some(wall()),
             core,
             life: self.life,
-            listed: self.life.knows_a_list(),
+            listed: self.life.has_list(),
             generation: self.watch.generation(),
             entries: self.book.0.values().filter(others).cloned().collect(),
             looked_up: self.dns_sd.iter().flat_map(|dns_sd| dns_sd.current()).cloned().collect(),
@@ -330,7 +330,7 @@
 
     /// Another process has everything. Staff are answered from the last figures until this one is told to stop.
     pub(super) fn linger(self) -> Result<(), String> {
-        if self.life.finished(self.clock.now(), 0) {
+        if self.life.may_exit(self.clock.now(), 0) {
             return Ok(());
         }
         let mut figures = self.stats(self.clock.now());
