--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -71,7 +71,7 @@
         }
         self.next_flow = self.next_flow.wrapping_add(1);
         if let Some(replay) = &mut self.replay {
-            replay.fresh(offer.destination, taken.flow);
+            replay.submitted(offer.destination, taken.flow);
         }
         let handed_in = HandedIn {
             destination: offer.destination,
@@ -113,7 +113,7 @@
     pub(super) fn drop_flow(&mut self, number: MessageId) {
         let Some(flow) = self.flows.remove(&number) else { return };
         if let Some(replay) = &mut self.replay {
-            replay.gone(DestinationId(flow.taken.destination), number);
+            replay.sent_or_ended(DestinationId(flow.taken.destination), number);
         }
         if flow.end.is_none() {
             self.open -= 1;
--- a/src/engine/calls.rs
+++ b/src/engine/calls.rs
@@ -129,7 +129,7 @@
             flow.out = Some(number);
             flow.attempts += 1;
             if let Some(replay) = &mut self.replay {
-                replay.gone(DestinationId(flow.taken.destination), id);
+                replay.sent_or_ended(DestinationId(flow.taken.destination), id);
             }
             self.records.push(Record::Sent { flow: id, at: self.now, endpoint });
             if let Some(call) = self.calls.get_mut(&number) {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -474,7 +474,7 @@
         }
         flow.end = Some((end, self.now));
         if let Some(replay) = &mut self.replay {
-            replay.gone(DestinationId(flow.taken.destination), number);
+            replay.sent_or_ended(DestinationId(flow.taken.destination), number);
         }
         for counts in [&mut self.counts[flow.tenant], &mut self.sums] {
             match end {
--- a/src/engine/restart.rs
+++ b/src/engine/restart.rs
@@ -150,7 +150,7 @@
     /// where it was handed over all at once.
     pub fn starts_among(&mut self, starting: usize) {
         if let Some(replay) = &mut self.replay {
-            replay.among(starting);
+            replay.set_starting(starting);
         }
     }
 
@@ -167,7 +167,7 @@
             let flow = self.flows.get(&number).filter(|flow| flow.end.is_none());
             self.events.extend(flow.map(|flow| restored(number, flow, self.now)));
         }
-        if self.replay.as_ref().is_some_and(Replay::over) {
+        if self.replay.as_ref().is_some_and(Replay::is_empty) {
             self.replay = None;
         }
     }
--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -7,9 +7,9 @@
 use crate::membership::share::{Rules, Shares};
 use crate::membership::{Identity, Node, Output, Settings as Pace};
 use crate::net::list::spread::Spread;
-use crate::startup::kept::FRESH;
-use crate::startup::lists::{Came, Lists};
-use crate::startup::ramp::{Among, Ramp, STARTING};
+use crate::startup::kept::FRESH_FOR;
+use crate::startup::lists::{Lists, PieceResult};
+use crate::startup::ramp::{Ramp, StartPosition, STARTING_FOR};
 use crate::startup::replay::Replay;
 use crate::startup::Edition;
 use crate::*;
@@ -215,7 +215,7 @@
     lists: Lists,
     ramp: Ramp,
     shares: Shares,
-    among: Among,
+    among: StartPosition,
 }
 
 /// A call that is out.
@@ -272,7 +272,7 @@
             let node = Node::new(me, "lab", None, Pace::default(), seeds, seed, now);
             let mut lists = Lists::new("lab", &name, true, seed, now);
             if knows {
-                lists.from_before(EDITION, LIST, None);
+                lists.restore(EDITION, LIST, None);
             }
             let rules = Rules { floor: siblings as u32, ..Rules::default() };
             Mates {
@@ -280,7 +280,7 @@
                 lists,
                 ramp: Ramp::new(seed, DEADLINE),
                 shares: Shares::new(rules, now),
-                among: Among::default(),
+                among: StartPosition::default(),
             }
         });
         let mut spread = Spread::new(siblings as u32, seed);
@@ -339,7 +339,7 @@
         let journal = &world.journals[self.index];
         for id in journal {
             if let Some(mates) = &mut self.mates {
-                mates.ramp.wants(now, DestinationId(world.messages[*id as usize].to as u64));
+                mates.ramp.message_waiting(now, DestinationId(world.messages[*id as usize].to as u64));
             }
         }
         let message = |id: &u32| &world.messages[*id as usize];
@@ -351,7 +351,7 @@
         let replay = Replay::new(now, self.seed, held);
         let at_once: Vec<u32> = journal.iter().filter(|id| !waits(id)).copied().collect();
         at_once.into_iter().for_each(|id| self.restore(world, now, id));
-        self.replay = (!replay.over()).then_some(replay);
+        self.replay = (!replay.is_empty()).then_some(replay);
     }
 
     fn restore(&mut self, world: &World, now: Micros, id: u32) {
@@ -384,7 +384,7 @@
     /// What is due, in the order of the program's loop.
     pub fn turn(&mut self, now: Micros, world: &mut World, out: &mut Vec<(SocketAddr, Vec<u8>)>) {
         self.meet(now, out);
-        let may = self.mates.as_ref().is_none_or(|mates| mates.lists.may_ask(now));
+        let may = self.mates.as_ref().is_none_or(|mates| mates.lists.may_call_discovery(now));
         let calls = world.list_calls.len();
         let answered = self.watch.tick(now, may, self.knows, world);
         if let Some(mates) = &mut self.mates {
@@ -392,10 +392,10 @@
                 mates.lists.from_discovery(now, EDITION.generation, LIST);
             }
             if world.list_calls.len() > calls {
-                mates.lists.asks(now);
+                mates.lists.discovery_called(now);
             }
             mates.node.hold(mates.lists.holding());
-            if mates.lists.confirmed().is_some_and(|at| now.minus(at) < FRESH) {
+            if mates.lists.confirmed().is_some_and(|at| now.minus(at) < FRESH_FOR) {
                 self.life.list_confirmed();
             }
         }
@@ -444,19 +444,19 @@
     /// First calls wait for moments of their own while many start, and so does what the journal held.
     fn hold_back(&mut self, now: Micros, world: &World) {
         let Some(mates) = &mut self.mates else { return };
-        let first = mates.ramp.pace(now);
+        let first = mates.ramp.send_rate(now);
         self.dispatcher.begins_with(first);
         if self.knows && first.is_some() {
             let destinations = (0..world.endpoints.len() as u64).map(DestinationId);
-            for (destination, until) in mates.ramp.waits(now, mates.among, destinations) {
+            for (destination, until) in mates.ramp.delays(now, mates.among, destinations) {
                 self.events.push(Event::Told(EndpointId(destination.0), until.minus(now)));
             }
         }
         let starting = mates.among.starting;
         let Some(replay) = &mut self.replay else { return };
-        replay.among(starting);
+        replay.set_starting(starting);
         let released = replay.release(now);
-        if replay.over() {
+        if replay.is_empty() {
             self.replay = None;
         }
         released.into_iter().for_each(|id| self.restore(world, now, id.0));
@@ -506,10 +506,10 @@
             let id = world.take_on(now, self.index, to, self.random.bool());
             self.attempts.insert(id, 0);
             if let Some(replay) = &mut self.replay {
-                replay.fresh(DestinationId(to as u64), MessageId(id));
+                replay.submitted(DestinationId(to as u64), MessageId(id));
             }
             if let Some(mates) = &mut self.mates {
-                mates.ramp.wants(now, DestinationId(to as u64));
+                mates.ramp.message_waiting(now, DestinationId(to as u64));
             }
             let message = handed_in(&world.messages[id as usize], now, false);
             self.events.push(Event::Message(MessageId(id), message));
@@ -529,7 +529,7 @@
                 message.attempts += 1;
                 message.ran += u32::from(answer.ran);
                 if let Some(replay) = &mut self.replay {
-                    replay.gone(DestinationId(to as u64), id);
+                    replay.sent_or_ended(DestinationId(to as u64), id);
                 }
                 let attempts = self.attempts.entry(id.0).or_default();
                 let attempt = std::mem::replace(attempts, *attempts + 1);
@@ -561,18 +561,18 @@
             match output {
                 Output::Send { to, bytes } => out.push((to, bytes)),
                 Output::Changed(_) => changed = true,
-                Output::Holds(from, holding) => mates.lists.told(now, from, holding),
+                Output::Holds(from, holding) => mates.lists.announced(now, from, holding),
                 Output::Asked(to, wanted) => {
-                    for (index, count, bytes) in mates.lists.give(now, wanted) {
+                    for (index, count, bytes) in mates.lists.send_pieces(now, wanted) {
                         mates.node.give(now, to, (wanted.edition, index, count), bytes, &mut more);
                     }
                 }
                 Output::Piece { from, edition, index, count, bytes } => {
                     let which = (edition, index.into(), count.into());
                     match mates.lists.piece(now, from, which, &bytes) {
-                        Came::Ask(to, wanted) => mates.node.ask(now, to, wanted, &mut more),
-                        Came::Whole(edition, bytes) => mates.lists.taken(edition, bytes),
-                        Came::Nothing | Came::Torn(_) => {}
+                        PieceResult::Request(to, wanted) => mates.node.ask(now, to, wanted, &mut more),
+                        PieceResult::Complete(edition, bytes) => mates.lists.accepted(edition, bytes),
+                        PieceResult::Nothing | PieceResult::Mismatch(_) => {}
                     }
                 }
                 Output::Namesake(_) | Output::Renewed(_) | Output::Part(..) => {}
@@ -584,15 +584,15 @@
             }
         }
         if changed {
-            mates.lists.view(now, mates.node.live_names());
-            mates.among = mates.node.among_started(now.minus(STARTING).0);
+            mates.lists.members_changed(now, mates.node.live_names());
+            mates.among = mates.node.among_started(now.minus(STARTING_FOR).0);
         }
     }
 
     /// When its next turn is due.
     pub fn due(&self, now: Micros, world: &World) -> Micros {
         let never = Micros(u64::MAX);
-        let may = self.mates.as_ref().is_none_or(|mates| mates.lists.may_ask(now));
+        let may = self.mates.as_ref().is_none_or(|mates| mates.lists.may_call_discovery(now));
         let mut due = self.watch.due(may);
         if let Some(mates) = &self.mates {
             due = due.min(mates.node.next_wake()).min(mates.lists.due(now).unwrap_or(never));
--- a/src/membership/protocol.rs
+++ b/src/membership/protocol.rs
@@ -18,8 +18,8 @@
 use super::wire::{self, Body, Dropped, Key, Packet, Writer};
 use super::{Entry, Identity, Settings, State};
 use crate::maintenance::parts::Fragment;
-use crate::startup::ramp::Among;
-use crate::startup::transfer::Wanted;
+use crate::startup::ramp::StartPosition;
+use crate::startup::transfer::PieceRequest;
 use crate::startup::{Edition, Holding};
 use crate::Micros;
 use order::ProbeOrder;
@@ -45,7 +45,7 @@
     /// A live member says which list it holds.
     Holds(SocketAddr, Holding),
     /// A live member asks for pieces of the list: see [`Node::give`].
-    Asked(SocketAddr, Wanted),
+    Asked(SocketAddr, PieceRequest),
     /// A piece that was asked for.
     #[allow(missing_docs)]
     Piece { from: SocketAddr, edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
@@ -235,7 +235,7 @@
     }
 
     /// Asks a member for pieces of its list.
-    pub fn ask(&mut self, now: Micros, to: SocketAddr, wanted: Wanted, out: &mut Vec<Output>) {
+    pub fn ask(&mut self, now: Micros, to: SocketAddr, wanted: PieceRequest, out: &mut Vec<Output>) {
         self.clock = now;
         self.send(to, Body::Ask(wanted), &[], out);
     }
@@ -263,14 +263,14 @@
 
     /// This member among the live ones whose generation, the clock at their start, is so high or higher (a walk, when the
     /// view has changed).
-    pub fn among_started(&self, generation: u64) -> Among {
+    pub fn among_started(&self, generation: u64) -> StartPosition {
         let started = |member: &&Member| member.state.live() && member.id.generation >= generation;
         let (mut place, mut starting) = (0, 1);
         for member in self.members.values().filter(started) {
             starting += 1;
             place += usize::from(member.id.name < self.me.name);
         }
-        Among { place, starting }
+        StartPosition { index: place, starting }
     }
 
     /// The names of the live members beside this one (a walk, when the view has changed).
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -17,7 +17,7 @@
 use super::rules::MOST_INCARNATION;
 use super::{Entry, Identity, State};
 use crate::maintenance::parts::{Fragment, FRAGMENT_BYTES};
-use crate::startup::transfer::{Wanted, PIECE};
+use crate::startup::transfer::{PieceRequest, PIECE_BYTES};
 use crate::startup::{Edition, Holding};
 use crate::Micros;
 use hmac::{KeyInit, Mac};
@@ -86,7 +86,7 @@
     /// Nothing but gossip.
     Gossip,
     /// Give pieces of the list that you hold.
-    Ask(Wanted),
+    Ask(PieceRequest),
     /// A piece of the list.
     Piece { edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
     /// A part of a message on maintenance.
@@ -265,11 +265,11 @@
             Body::Sync { reply: flags & 1 == 1, last: flags & 2 == 2 }
         }
         5 => Body::Gossip,
-        6 => Body::Ask(Wanted { edition: reader.edition()?, first: reader.u16()?, mask: reader.u8()? }),
+        6 => Body::Ask(PieceRequest { edition: reader.edition()?, first: reader.u16()?, mask: reader.u8()? }),
         7 => {
             let (edition, index, count) = (reader.edition()?, reader.u16()?, reader.u16()?);
             let length = usize::from(reader.u16()?);
-            if length > PIECE {
+            if length > PIECE_BYTES {
                 return Err(Dropped::Unreadable);
             }
             Body::Piece { edition, index, count, bytes: reader.take(length)?.to_vec() }
@@ -371,7 +371,7 @@
             out.push(u8::from(*reply) | (u8::from(*last) << 1));
         }
         Body::Gossip => out.push(5),
-        Body::Ask(Wanted { edition, first, mask }) => {
+        Body::Ask(PieceRequest { edition, first, mask }) => {
             out.push(6);
             put_edition(out, *edition);
             out.extend_from_slice(&first.to_be_bytes());
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -32,9 +32,9 @@
     let writer = Writer::new("c", &me(), Some(Key::new(b"secret".to_vec())));
     let edition = Edition { epoch: 1, generation: u64::MAX };
     let holding = Holding { edition, digest: 9, age: Micros(u64::MAX) };
-    let piece = Body::Piece { edition, index: 3, count: 9, bytes: vec![5; PIECE] };
+    let piece = Body::Piece { edition, index: 3, count: 9, bytes: vec![5; PIECE_BYTES] };
     let part = Body::Part(Fragment { digest: 7, index: 1, count: 2, bytes: vec![6; FRAGMENT_BYTES] });
-    for body in [Body::Ask(Wanted { edition, first: 8, mask: 0x81 }), piece, part] {
+    for body in [Body::Ask(PieceRequest { edition, first: 8, mask: 0x81 }), piece, part] {
         let bytes = writer.write(1, Some(&holding), &body, &[]);
         assert!(bytes.len() <= MAX_DATAGRAM);
         assert_eq!(read(&bytes, "c", Some(&Key::new(b"secret".to_vec()))).unwrap().body, body);
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -9,9 +9,9 @@
 use crate::membership::share::{Rules, Shares, Standing};
 use crate::membership::wire::{Dropped, Key, MAX_DATAGRAM};
 use crate::membership::{Change, Identity, Node, Output, State, View};
-use crate::startup::kept::{self, Kept};
-use crate::startup::lists::{Came, Lists};
-use crate::startup::ramp::{Among, STARTING};
+use crate::startup::kept::{self, CachedList};
+use crate::startup::lists::{Lists, PieceResult};
+use crate::startup::ramp::{StartPosition, STARTING_FOR};
 use crate::startup::Edition;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
     outputs: Vec<Output>,
     view: View,
     /// This one among the members that started lately.
-    among: Among,
+    among: StartPosition,
     lists: Lists,
     /// A whole list that a member gave, to be read.
     came: Option<(Edition, Vec<u8>)>,
@@ -134,7 +134,7 @@
             unsent: 0,
             outputs: Vec::new(),
             view,
-            among: Among::default(),
+            among: StartPosition::default(),
             lists,
             came: None,
             folder,
@@ -165,9 +165,9 @@
         let outputs = std::mem::take(&mut self.outputs);
         for output in outputs.into_iter() {
             match output {
-                Output::Holds(from, holding) => self.lists.told(now, from, holding),
+                Output::Holds(from, holding) => self.lists.announced(now, from, holding),
                 Output::Asked(to, wanted) => {
-                    for (index, count, bytes) in self.lists.give(now, wanted) {
+                    for (index, count, bytes) in self.lists.send_pieces(now, wanted) {
                         let which = (wanted.edition, index, count);
                         self.node.give(now, to, which, bytes, &mut self.outputs);
                     }
@@ -175,10 +175,10 @@
                 Output::Piece { from, edition, index, count, bytes } => {
                     let which = (edition, usize::from(index), usize::from(count));
                     match self.lists.piece(now, from, which, &bytes) {
-                        Came::Nothing => {}
-                        Came::Ask(to, wanted) => self.node.ask(now, to, wanted, &mut self.outputs),
-                        Came::Whole(edition, bytes) => self.came = Some((edition, bytes)),
-                        Came::Torn(from) => log!("membership: the list that {from} gave is not what it announced: not taken, another member is asked"),
+                        PieceResult::Nothing => {}
+                        PieceResult::Request(to, wanted) => self.node.ask(now, to, wanted, &mut self.outputs),
+                        PieceResult::Complete(edition, bytes) => self.came = Some((edition, bytes)),
+                        PieceResult::Mismatch(from) => log!("membership: the list that {from} gave is not what it announced: not taken, another member is asked"),
                     }
                 }
                 Output::Send { to, bytes } => self.send(to, &bytes),
@@ -200,8 +200,8 @@
         }
         self.view = self.node.view();
         if changed {
-            self.lists.view(now, self.node.live_names());
-            self.among = self.node.among_started(now.minus(STARTING).0);
+            self.lists.members_changed(now, self.node.live_names());
+            self.among = self.node.among_started(now.minus(STARTING_FOR).0);
         }
         if let Some((to, wanted)) = self.lists.tick(now) {
             self.node.ask(now, to, wanted, &mut self.outputs);
@@ -259,23 +259,23 @@
     }
 
     /// This one among the members that started lately, as of the last change of the view.
-    pub fn among(&self) -> Among {
+    pub fn among(&self) -> StartPosition {
         self.among
     }
 
     /// Whether discovery may be asked here, now.
     pub fn may_ask(&self, now: Micros) -> bool {
-        self.lists.may_ask(now)
+        self.lists.may_call_discovery(now)
     }
 
     /// A call to discovery has begun here.
     pub fn asks(&mut self, now: Micros) {
-        self.lists.asks(now);
+        self.lists.discovery_called(now);
     }
 
     /// Discovery, or a member for it, has confirmed the list that is held lately.
     pub fn confirmed(&self, now: Micros) -> bool {
-        self.lists.confirmed().is_some_and(|at| now.minus(at) < kept::FRESH)
+        self.lists.confirmed().is_some_and(|at| now.minus(at) < kept::FRESH_FOR)
     }
 
     /// A whole list from a member, to be read; [`Members::taken`] is to follow at once.
@@ -286,8 +286,8 @@
     /// It could be read, and is in force; or not.
     pub fn taken(&mut self, edition: Edition, bytes: Option<Vec<u8>>) {
         match bytes {
-            Some(bytes) => self.lists.taken(edition, bytes),
-            None => self.lists.refused(),
+            Some(bytes) => self.lists.accepted(edition, bytes),
+            None => self.lists.rejected(),
         }
     }
 
@@ -303,7 +303,7 @@
 
     /// The list that is known at a start.
     pub fn from_before(&mut self, edition: Edition, bytes: &[u8], confirmed: Option<Micros>) {
-        self.lists.from_before(edition, bytes, confirmed);
+        self.lists.restore(edition, bytes, confirmed);
     }
 
     /// Discovery has answered here: the whole list as it is now, or none where nothing has changed.
@@ -323,8 +323,8 @@
             return;
         }
         self.kept = (Some(edition), now.plus(KEEP));
-        let file = Kept { edition, confirmed, bytes: bytes.to_vec() }.write();
-        let (beside, place) = (self.folder.join("list.new"), self.folder.join(kept::NAME));
+        let file = CachedList { edition, confirmed, bytes: bytes.to_vec() }.encode();
+        let (beside, place) = (self.folder.join("list.new"), self.folder.join(kept::FILE_NAME));
         let written = std::fs::write(&beside, file).and_then(|()| std::fs::rename(&beside, &place));
         if let Err(problem) = written {
             log!("the list is not kept in {}: {problem}; a start goes by an older one", place.display());
@@ -435,14 +435,14 @@
 }
 
 /// The list that is kept in a folder, if there is one that can be read; a line says why not.
-pub fn kept(folder: &Path) -> Option<Kept> {
-    let path = folder.join(kept::NAME);
+pub fn kept(folder: &Path) -> Option<CachedList> {
+    let path = folder.join(kept::FILE_NAME);
     let length = std::fs::metadata(&path).ok()?.len();
-    let read = match length > kept::LONGEST as u64 {
+    let read = match length > kept::MAX_FILE_BYTES as u64 {
         true => Err(format!("{length} bytes")),
-        false => {
-            std::fs::read(&path).map_err(|problem| problem.to_string()).and_then(|file| Kept::read(&file))
-        }
+        false => std::fs::read(&path)
+            .map_err(|problem| problem.to_string())
+            .and_then(|file| CachedList::decode(&file)),
     };
     read.map_err(|problem| log!("{}: {problem}; the list of the platform's file serves", path.display())).ok()
 }
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -277,17 +277,17 @@
         let (Some(ramp), Some(members)) = (&mut self.ramp, &self.members) else { return };
         for input in &self.inputs {
             if let Input::Offer(offer) = input {
-                ramp.wants(now, offer.destination);
+                ramp.message_waiting(now, offer.destination);
             }
         }
-        let first = ramp.pace(now);
+        let first = ramp.send_rate(now);
         self.engine.begins_with(first);
         if first.is_none() {
             self.ramp = None;
             return;
         }
         let destinations = self.book.0.values().map(|entry| entry.member.destination);
-        let waits: BTreeMap<_, _> = ramp.waits(now, members.among(), destinations).into_iter().collect();
+        let waits: BTreeMap<_, _> = ramp.delays(now, members.among(), destinations).into_iter().collect();
         if waits.is_empty() {
             return;
         }
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -23,7 +23,7 @@
 use crate::net::servers::amqp::Brokers;
 use crate::net::servers::http::Servers;
 use crate::net::upgrade::{self, Early};
-use crate::startup::kept::Kept;
+use crate::startup::kept::CachedList;
 use crate::startup::ramp::Ramp;
 use crate::startup::Edition;
 use crate::{DestinationId, Micros};
@@ -154,7 +154,7 @@
     /// The whole list, with the entries of every source.
     whole: News,
     /// The copy that the folder keeps, where it counts.
-    kept: Option<Kept>,
+    kept: Option<CachedList>,
 }
 
 impl FirstList {
@@ -200,7 +200,7 @@
 }
 
 /// The list that the folder keeps, unless the platform's file knows a newer one.
-fn kept_list(folder: &Path, model: &Model, told: Option<u64>) -> Option<(News, Kept)> {
+fn kept_list(folder: &Path, model: &Model, told: Option<u64>) -> Option<(News, CachedList)> {
     let kept = members::kept(folder)?;
     let news = listing::read_whole(&kept.bytes, &model.names)?;
     let counts = told.is_none_or(|told| kept.edition.epoch > 0 || kept.edition.generation >= told);
@@ -212,7 +212,7 @@
     let shortest = model.core.settings.classes.iter().map(|class| class.deadline).min().unwrap_or_default();
     let mut ramp = Ramp::new(seed ^ now.0, shortest);
     let open = engine.flows().filter(|flow| flow.end.is_none());
-    open.for_each(|flow| ramp.wants(now, DestinationId(flow.destination)));
+    open.for_each(|flow| ramp.message_waiting(now, DestinationId(flow.destination)));
     ramp
 }
 
@@ -276,7 +276,7 @@
             members
         });
         // What was not confirmed lately waits for a word of a member or of discovery, for a while.
-        let fresh = first.kept.as_ref().is_some_and(|kept| kept.fresh(now));
+        let fresh = first.kept.as_ref().is_some_and(|kept| kept.is_fresh(now));
         let doubt = (members.is_some() && !fresh).then_some(DOUBTFUL);
         let starts = members.is_some() && handed.is_none();
         let ramp = starts.then(|| ramp(&engine, &model, seed, now));
--- a/src/startup/kept.rs
+++ b/src/startup/kept.rs
@@ -1,32 +1,33 @@
-//! The list as it is kept in the folder that lasts: one line that says what it is, then the list in discovery's form. Whatever
-//! does not read whole is not taken.
+//! File format of the cached endpoint list in the state folder: a header line, then the list in
+//! discovery's format. A file that is not complete and intact is rejected.
 
 use super::{digest, Edition};
 use crate::Micros;
 
-/// The file's name in the folder.
-pub const NAME: &str = "list.kept";
-/// What the first line begins with; another format is another word.
+/// Name of the file in the state folder.
+pub const FILE_NAME: &str = "list.kept";
+/// Format and version: the first word of the header line.
 const FORMAT: &str = "cedarwharf-list-1";
-/// Served at once where discovery confirmed it less than that ago: what it has to tell counts as told 6 s afterwards.
-pub const FRESH: Micros = Micros(6_000_000);
-/// No file is longer.
-pub const LONGEST: usize = 8 << 20;
+/// A start serves at once from a list that discovery confirmed less than this long ago. Changes in
+/// discovery count as announced 6 s later.
+pub const FRESH_FOR: Micros = Micros(6_000_000);
+/// Longer files are not read.
+pub const MAX_FILE_BYTES: usize = 8 << 20;
 
-/// What was kept.
+/// The cached endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
-    /// Which list.
+pub struct CachedList {
+    /// Version of the list.
     pub edition: Edition,
-    /// When discovery confirmed it last.
+    /// Time at which discovery last confirmed the list.
     pub confirmed: Micros,
-    /// In discovery's form.
+    /// The list in discovery's format.
     pub bytes: Vec<u8>,
 }
 
-impl Kept {
-    /// As a file.
-    pub fn write(&self) -> Vec<u8> {
+impl CachedList {
+    /// Encodes the file.
+    pub fn encode(&self) -> Vec<u8> {
         let Edition { epoch, generation } = self.edition;
         let (sum, confirmed) = (digest(&self.bytes), self.confirmed.0);
         let mut file = format!("{FORMAT} {epoch} {generation} {confirmed} {} {sum:016x}\n", self.bytes.len())
@@ -35,34 +36,34 @@
         file
     }
 
-    /// From a file; or why it is not taken.
-    pub fn read(file: &[u8]) -> Result<Kept, String> {
-        let end = file.iter().take(200).position(|&byte| byte == b'\n').ok_or("no first line")?;
-        let head = std::str::from_utf8(&file[..end]).map_err(|_| "a first line that is no text")?;
+    /// Decodes a file, or returns the reason for which it is rejected.
+    pub fn decode(file: &[u8]) -> Result<CachedList, String> {
+        let end = file.iter().take(200).position(|&byte| byte == b'\n').ok_or("it has no header line")?;
+        let head = std::str::from_utf8(&file[..end]).map_err(|_| "its header line is not text")?;
         let fields: Vec<&str> = head.split(' ').collect();
         let [format, epoch, generation, confirmed, length, sum] = fields[..] else {
-            return Err(format!("{} words in its first line", fields.len()));
+            return Err(format!("its header line has {} words", fields.len()));
         };
         if format != FORMAT {
-            return Err(format!("format {format}, where {FORMAT} is read"));
+            return Err(format!("its format is {format}, not {FORMAT}"));
         }
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text} is no number"));
+        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text} is not a number"));
         let bytes = &file[end + 1..];
         if number(length)? != bytes.len() as u64 {
-            return Err(format!("{} bytes of {length}", bytes.len()));
+            return Err(format!("it has {} of {length} bytes", bytes.len()));
         }
         if u64::from_str_radix(sum, 16) != Ok(digest(bytes)) {
-            return Err("its digest is another".to_owned());
+            return Err("its digest does not match".to_owned());
         }
-        let epoch = u32::try_from(number(epoch)?).map_err(|_| "an epoch too high")?;
+        let epoch = u32::try_from(number(epoch)?).map_err(|_| "its epoch is too high")?;
         let edition = Edition { epoch, generation: number(generation)? };
-        Ok(Kept { edition, confirmed: Micros(number(confirmed)?), bytes: bytes.to_vec() })
+        Ok(CachedList { edition, confirmed: Micros(number(confirmed)?), bytes: bytes.to_vec() })
     }
 
-    /// Whether a start may serve from it at once.
-    pub fn fresh(&self, now: Micros) -> bool {
-        // One from the future was written under another clock: nothing is known of its age.
-        self.confirmed <= now && now.minus(self.confirmed) < FRESH
+    /// Whether a start may serve from this list at once.
+    pub fn is_fresh(&self, now: Micros) -> bool {
+        // A time in the future was written under another clock: the age of the list is unknown.
+        self.confirmed <= now && now.minus(self.confirmed) < FRESH_FOR
     }
 }
 
--- a/src/startup/lists.rs
+++ b/src/startup/lists.rs
@@ -1,7 +1,7 @@
-//! One member's side of the list: whether it may ask discovery, from which member it takes a newer edition, and what it
-//! gives out itself.
+//! Exchange of the endpoint list from one member's view: whether the member may call discovery,
+//! from which member it fetches a newer edition, and what it sends to others.
 
-use super::transfer::{self, Fetch, Progress, Wanted};
+use super::transfer::{self, Fetch, PieceRequest, Progress};
 use super::{digest, elect, Edition, Holding};
 use crate::tenancy::rate::{Arrivals, Rate};
 use crate::Micros;
@@ -9,75 +9,83 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An elected member asks so long after it joined, drawn: until then another may have a list for it.
-const SETTLE: (u64, u64) = (500_000, 1_500_000);
-/// Whoever no member answers, or hears of no confirmation, asks after so long, drawn.
-const ALONE: (u64, u64) = (2_000_000, 4_000_000);
-/// Whoever hears of no further confirmation for so long asks once itself.
-const STALE: (u64, u64) = (12_000_000, 20_000_000);
-/// Of those who ask though nobody elected them, one does in this time however many they are: the first one's answer goes
-/// round, and where discovery answers nobody, a whole fleet would else ask it in the same few seconds.
-const ONE_ASKS: u64 = 250_000;
-/// Members that told of the newest edition, kept as sources.
-const SOURCES: usize = 8;
-/// Members whose list was torn or could not be read are not asked for that edition again; so many are remembered.
-const BARRED: usize = 64;
-
-/// Counts since the start.
+/// Range of the random delay, in microseconds, before an elected member that has joined calls
+/// discovery: another member may have a list by then.
+const ELECTED_DELAY: (u64, u64) = (500_000, 1_500_000);
+/// Range of the random delay, in microseconds, before a member calls discovery that gets no answer
+/// from any member or no confirmation.
+const UNANSWERED_DELAY: (u64, u64) = (2_000_000, 4_000_000);
+/// Range of the random delay, in microseconds, after which a member that receives no further
+/// confirmation calls discovery once itself.
+const UNCONFIRMED_DELAY: (u64, u64) = (12_000_000, 20_000_000);
+/// Of the members that call discovery without being elected, one does so in this time
+/// (microseconds), however many there are. The answer to the first one reaches the others. If
+/// discovery answers none, the whole fleet would otherwise call it within the same few seconds.
+const CALL_SPACING: u64 = 250_000;
+/// Maximum number of members kept as sources of the newest edition.
+const MAX_SOURCES: usize = 8;
+/// A member whose list was malformed is not asked for that edition again. This is the maximum
+/// number of such members remembered.
+const MAX_BARRED: usize = 64;
+
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[allow(missing_docs)]
 pub struct Stats {
-    /// Lists taken from members.
+    /// Lists accepted from members.
     pub taken: u64,
-    /// Requests for pieces sent, and pieces given out.
+    /// Requests for pieces sent, and pieces sent to others (`given`).
     pub asked: u64,
     pub given: u64,
-    /// Lists from members that were torn or could not be read.
+    /// Lists from members that did not match their digest or could not be read.
     pub torn: u64,
-    /// Members that went silent during a fetch.
+    /// Members that stopped answering during a fetch.
     pub silent: u64,
-    /// Requests for pieces that came too fast, and were not answered.
+    /// Requests for pieces that exceeded the rate limit and were not answered.
     pub unanswered: u64,
 }
 
-/// What came of a piece.
+/// Result of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// Nothing to do.
+pub enum PieceResult {
+    /// No action.
     Nothing,
-    /// More is to be asked for.
-    Ask(SocketAddr, Wanted),
-    /// A whole list: to be read, and then [`Lists::taken`] or [`Lists::refused`].
-    Whole(Edition, Vec<u8>),
-    /// The member's list was torn: a line for those on call.
-    Torn(SocketAddr),
+    /// Send the next request.
+    Request(SocketAddr, PieceRequest),
+    /// The list is complete. It is to be parsed, and then reported by [`Lists::accepted`] or
+    /// [`Lists::rejected`].
+    Complete(Edition, Vec<u8>),
+    /// The list did not match its announcement: log this.
+    Mismatch(SocketAddr),
 }
 
-/// The wait of one that nobody elected.
+/// Wait of a member that is not elected, before it calls discovery.
 #[derive(Clone, Copy)]
-struct Lone {
+struct FallbackDelay {
     from: Micros,
     least: u64,
     most: u64,
-    /// Where in between, and beyond where there are many: 0 to 1.
-    drawn: f64,
+    /// Position between `least` and `most`, or beyond where there are many members: 0 to 1.
+    position: f64,
 }
 
-impl Lone {
-    fn begin(from: Micros, (least, most): (u64, u64), random: &mut fastrand::Rng) -> Lone {
-        Lone { from, least, most, drawn: random.f64() }
+impl FallbackDelay {
+    fn begin(from: Micros, (least, most): (u64, u64), random: &mut fastrand::Rng) -> FallbackDelay {
+        FallbackDelay { from, least, most, position: random.f64() }
     }
 
-    /// It asks from then on, as one of so many.
-    fn over(&self, members: usize) -> Micros {
-        let span = (self.most - self.least).max(ONE_ASKS * members as u64);
-        self.from.plus(Micros(self.least + (self.drawn * span as f64) as u64))
+    /// Time from which it calls discovery, as one of `members` members.
+    fn ends_at(&self, members: usize) -> Micros {
+        let span = (self.most - self.least).max(CALL_SPACING * members as u64);
+        self.from.plus(Micros(self.least + (self.position * span as f64) as u64))
     }
 }
 
-/// Requests for pieces that are answered; each brings eight pieces at the most. Whoever is not answered asks again, and then
-/// another member. Far above what a fleet asks that starts at once: a storm of them takes no more than this of the loop.
-const ANSWERED: Rate = Rate { a_second: 200.0, burst: 64 };
+/// Rate limit of answered requests for pieces; each is answered with up to eight pieces. A member
+/// without an answer repeats its request and then asks another member. The limit is far above the
+/// requests of a fleet that starts at once, and bounds the share of the loop that a flood of
+/// requests takes.
+const REQUEST_RATE: Rate = Rate { a_second: 200.0, burst: 64 };
 
 struct Held {
     edition: Edition,
@@ -91,42 +99,43 @@
     }
 }
 
-/// See the module's text.
+/// State of the list exchange of one member.
 pub struct Lists {
     cluster: String,
     me: String,
     random: fastrand::Rng,
     held: Option<Held>,
     fetch: Option<Fetch>,
-    /// A whole list that is being read.
+    /// Source and edition of a complete list that is being parsed.
     reading: Option<(SocketAddr, Edition)>,
-    /// Who told of the newest edition that is not held, and its digest.
+    /// Members that hold the newest edition that is not held here, and its digest.
     sources: Vec<(SocketAddr, Edition, u64)>,
     barred: BTreeMap<SocketAddr, Edition>,
     elected: bool,
     joined: bool,
-    /// Elected, it asks from then on.
-    ask_from: Micros,
-    /// Nobody has confirmed anything: it asks after that, whoever is elected.
-    lone: Lone,
-    /// Live members, this one among them.
+    /// Time from which an elected member calls discovery.
+    call_from: Micros,
+    /// Without confirmations, the member calls discovery after this wait even if it is not elected.
+    fallback: FallbackDelay,
+    /// Number of live members, including this one.
     members: usize,
-    /// When somebody last heard discovery confirm what is held.
+    /// Time at which discovery last confirmed the held list to any member.
     confirmed: Option<Micros>,
-    /// Requests for pieces, as they come.
+    /// Rate limiter of the requests for pieces.
     requests: Arrivals,
-    /// Counts.
+    /// Counters.
     pub stats: Stats,
 }
 
 impl Lists {
-    /// A member that begins now. `seeded`: it has others to ask, and waits for their word.
+    /// Creates the state at the start of a member. `seeded`: it knows other members to ask, and waits
+    /// for their answers.
     pub fn new(cluster: &str, me: &str, seeded: bool, seed: u64, now: Micros) -> Lists {
         let mut random = fastrand::Rng::with_seed(seed);
-        let lone = Lone::begin(now, if seeded { ALONE } else { (0, 0) }, &mut random);
-        let ask_from = if seeded { lone.over(1) } else { now };
+        let fallback = FallbackDelay::begin(now, if seeded { UNANSWERED_DELAY } else { (0, 0) }, &mut random);
+        let call_from = if seeded { fallback.ends_at(1) } else { now };
         let mut requests = Arrivals::default();
-        requests.configure(vec![Some(ANSWERED)]);
+        requests.configure(vec![Some(REQUEST_RATE)]);
         Lists {
             cluster: cluster.to_owned(),
             me: me.to_owned(),
@@ -138,8 +147,8 @@
             barred: BTreeMap::new(),
             elected: !seeded,
             joined: !seeded,
-            ask_from,
-            lone,
+            call_from,
+            fallback,
             members: if seeded { 1 } else { 0 },
             confirmed: None,
             requests,
@@ -147,79 +156,86 @@
         }
     }
 
-    /// What is held, to be told to the others.
+    /// Edition, digest and last confirmation of the held list, to be announced to the other members.
     pub fn holding(&self) -> Option<(Edition, u64, Option<Micros>)> {
         self.held.as_ref().map(|held| (held.edition, held.digest, self.confirmed))
     }
 
-    /// What is held, to be kept.
+    /// The held list, to be cached in the state folder.
     pub fn held(&self) -> Option<(Edition, Rc<[u8]>)> {
         self.held.as_ref().map(|held| (held.edition, held.bytes.clone()))
     }
 
-    /// When discovery confirmed it last, here or elsewhere.
+    /// Time at which discovery last confirmed the list, to this member or another.
     pub fn confirmed(&self) -> Option<Micros> {
         self.confirmed
     }
 
-    /// Whether this member is one of those who ask discovery.
+    /// Whether this member is elected to call discovery.
     pub fn elected(&self) -> bool {
         self.elected
     }
 
-    /// The view has changed: who is live beside this one. Cost: the members.
-    pub fn view<'a>(&mut self, now: Micros, others: impl Iterator<Item = &'a str>) {
+    /// Updates the live members other than this one. Cost: the number of members.
+    pub fn members_changed<'a>(&mut self, now: Micros, others: impl Iterator<Item = &'a str>) {
         let mut count = 0;
         let counted = others.inspect(|_| count += 1);
         self.elected = elect::elected(&self.cluster, &self.me, counted);
         self.members = 1 + count;
         if count > 0 && !self.joined {
             self.joined = true;
-            self.ask_from = now.plus(Micros(self.random.u64(SETTLE.0..=SETTLE.1)));
+            self.call_from = now.plus(Micros(self.random.u64(ELECTED_DELAY.0..=ELECTED_DELAY.1)));
         }
     }
 
-    /// Whether discovery may be asked now.
-    pub fn may_ask(&self, now: Micros) -> bool {
-        // Whoever has met nobody in its time is a fleet of one, and asks as one.
-        let watches = self.elected || !self.joined;
-        (watches && now >= self.ask_from && self.fetch.is_none()) || now >= self.lone_from()
+    /// Whether discovery may be called now.
+    pub fn may_call_discovery(&self, now: Micros) -> bool {
+        // A member that has met no other in its time acts as a fleet of one.
+        let may_call = self.elected || !self.joined;
+        (may_call && now >= self.call_from && self.fetch.is_none()) || now >= self.fallback_at()
     }
 
-    fn lone_from(&self) -> Micros {
-        self.lone.over(self.members)
+    fn fallback_at(&self) -> Micros {
+        self.fallback.ends_at(self.members)
     }
 
-    /// When [`Lists::may_ask`] or [`Lists::tick`] change by themselves.
+    /// Time at which the results of [`Lists::may_call_discovery`] or [`Lists::tick`] change by
+    /// themselves.
     pub fn due(&self, now: Micros) -> Option<Micros> {
-        let ask = [self.ask_from, self.lone_from()].into_iter().filter(|&at| at > now).min();
+        let call = [self.call_from, self.fallback_at()].into_iter().filter(|&at| at > now).min();
         let fetch = self.fetch.as_ref().map(Fetch::due);
-        ask.into_iter().chain(fetch).min()
+        call.into_iter().chain(fetch).min()
     }
 
-    /// A call to discovery has begun here. One that nobody elected asks once: where discovery answers nobody, all of a fleet
-    /// would ask it in turns otherwise.
-    pub fn asks(&mut self, now: Micros) {
-        if now >= self.lone_from() {
-            self.lone = Lone::begin(now, STALE, &mut self.random);
+    /// Records that a call to discovery has begun. A member that is not elected calls once: if
+    /// discovery answers no member, all members of a fleet would otherwise call it in turn.
+    pub fn discovery_called(&mut self, now: Micros) {
+        if now >= self.fallback_at() {
+            self.fallback = FallbackDelay::begin(now, UNCONFIRMED_DELAY, &mut self.random);
         }
     }
 
-    /// A confirmation by discovery, here or elsewhere, at that moment.
+    /// Records a confirmation by discovery at that time, to this member or another.
     fn confirm(&mut self, at: Micros) {
         self.confirmed = Some(self.confirmed.map_or(at, |before| before.max(at)));
-        // The draw stays until it has asked: the latest of many draws would be the same for all.
-        let next = Lone { from: at, least: STALE.0, most: STALE.1, ..self.lone };
-        if next.over(self.members) > self.lone_from() {
-            self.lone = next;
+        // The random position stays until the member has called: the latest of many draws would be the same
+        // for all members.
+        let next = FallbackDelay {
+            from: at,
+            least: UNCONFIRMED_DELAY.0,
+            most: UNCONFIRMED_DELAY.1,
+            ..self.fallback
+        };
+        if next.ends_at(self.members) > self.fallback_at() {
+            self.fallback = next;
         }
     }
 
-    /// Discovery has answered here: with this whole list as it is now, under this generation.
+    /// Records an answer of discovery: the complete list and its generation.
     pub fn from_discovery(&mut self, now: Micros, generation: u64, bytes: &[u8]) {
         let edition = match &self.held {
             Some(held) if generation >= held.edition.generation => Edition { generation, ..held.edition },
-            // It counts anew: everybody is to take what it says now.
+            // Discovery has restarted its count: all members have to accept this list now.
             Some(held) => Edition { epoch: held.edition.epoch.saturating_add(1), generation },
             None => Edition { epoch: 0, generation },
         };
@@ -232,24 +248,24 @@
         self.confirm(now);
     }
 
-    /// Discovery has answered here that nothing has changed since what is held.
+    /// Records an answer of discovery that the held list is unchanged.
     pub fn unchanged(&mut self, now: Micros) {
         self.confirm(now);
     }
 
-    /// What was kept or configured before anybody was asked.
-    pub fn from_before(&mut self, edition: Edition, bytes: &[u8], confirmed: Option<Micros>) {
+    /// Restores the list that was cached or configured, before any call.
+    pub fn restore(&mut self, edition: Edition, bytes: &[u8], confirmed: Option<Micros>) {
         self.held = Held::new(edition, bytes);
         self.confirmed = confirmed;
     }
 
-    /// A member says what it holds. `at` is where it is asked.
-    pub fn told(&mut self, now: Micros, at: SocketAddr, holding: Holding) {
-        let Holding { edition, digest: sum, age } = holding;
+    /// Processes a member's announcement of its list. `at` is the address to request it from.
+    pub fn announced(&mut self, now: Micros, at: SocketAddr, holding: Holding) {
+        let Holding { edition, digest: announced_digest, age } = holding;
         let held = self.held.as_ref().map(|held| held.edition);
         let confirmed = now.minus(age);
         if held == Some(edition) {
-            if age < Micros(STALE.1) && self.confirmed.is_none_or(|before| before < confirmed) {
+            if age < Micros(UNCONFIRMED_DELAY.1) && self.confirmed.is_none_or(|before| before < confirmed) {
                 self.confirm(confirmed);
             }
             return;
@@ -261,20 +277,20 @@
         if newest < Some(edition) {
             self.sources.clear();
         }
-        if self.sources.len() < SOURCES && !self.sources.iter().any(|&(source, ..)| source == at) {
-            self.sources.push((at, edition, sum));
+        if self.sources.len() < MAX_SOURCES && !self.sources.iter().any(|&(source, ..)| source == at) {
+            self.sources.push((at, edition, announced_digest));
         }
     }
 
-    /// Time passes: who is to be asked for what.
-    pub fn tick(&mut self, now: Micros) -> Option<(SocketAddr, Wanted)> {
+    /// Advances time. Returns the request for pieces to send, and to which member.
+    pub fn tick(&mut self, now: Micros) -> Option<(SocketAddr, PieceRequest)> {
         if let Some(fetch) = &mut self.fetch {
             match fetch.tick(now) {
-                Ok(wanted) => {
-                    self.stats.asked += u64::from(wanted.is_some());
-                    return wanted.map(|wanted| (fetch.from, wanted));
+                Ok(request) => {
+                    self.stats.asked += u64::from(request.is_some());
+                    return request.map(|request| (fetch.from, request));
                 }
-                Err(transfer::Silent) => {
+                Err(transfer::NoAnswer) => {
                     self.stats.silent += 1;
                     self.fetch = None;
                 }
@@ -283,84 +299,84 @@
         if self.reading.is_some() || self.sources.is_empty() {
             return None;
         }
-        // Any of those who told: not all of a fleet go to the first one.
+        // A random source: otherwise all members of a fleet would ask the first one.
         let pick = self.random.usize(..self.sources.len());
-        let (from, edition, sum) = self.sources.swap_remove(pick);
-        let mut fetch = Fetch::new(from, edition, sum);
-        let wanted = fetch.ask(now);
+        let (from, edition, announced_digest) = self.sources.swap_remove(pick);
+        let mut fetch = Fetch::new(from, edition, announced_digest);
+        let request = fetch.ask(now);
         self.fetch = Some(fetch);
         self.stats.asked += 1;
-        Some((from, wanted))
+        Some((from, request))
     }
 
-    /// A piece came from a member.
+    /// Processes a piece from a member.
     pub fn piece(
         &mut self,
         now: Micros,
         from: SocketAddr,
         (edition, index, count): (Edition, usize, usize),
         bytes: &[u8],
-    ) -> Came {
+    ) -> PieceResult {
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.from == from && fetch.edition == edition)
         else {
-            return Came::Nothing;
+            return PieceResult::Nothing;
         };
         match fetch.piece(now, index, count, bytes) {
-            Progress::Waiting => Came::Nothing,
-            Progress::Ask(wanted) => {
+            Progress::Waiting => PieceResult::Nothing,
+            Progress::Request(request) => {
                 self.stats.asked += 1;
-                Came::Ask(from, wanted)
+                PieceResult::Request(from, request)
             }
-            Progress::Whole(whole) => {
+            Progress::Complete(whole) => {
                 self.fetch = None;
                 self.reading = Some((from, edition));
-                Came::Whole(edition, whole)
+                PieceResult::Complete(edition, whole)
             }
-            Progress::Torn => {
+            Progress::Mismatch => {
                 self.fetch = None;
                 self.bar(from, edition);
-                Came::Torn(from)
+                PieceResult::Mismatch(from)
             }
         }
     }
 
     fn bar(&mut self, from: SocketAddr, edition: Edition) {
         self.stats.torn += 1;
-        if self.barred.len() >= BARRED {
+        if self.barred.len() >= MAX_BARRED {
             self.barred.pop_first();
         }
         self.barred.insert(from, edition);
     }
 
-    /// The whole list could be read, and is in force.
-    pub fn taken(&mut self, edition: Edition, bytes: Vec<u8>) {
+    /// The complete list could be parsed and is in force.
+    pub fn accepted(&mut self, edition: Edition, bytes: Vec<u8>) {
         self.reading = None;
-        self.sources.retain(|&(_, told, _)| told > edition);
+        self.sources.retain(|&(_, announced, _)| announced > edition);
         self.stats.taken += 1;
         self.held = Held::new(edition, &bytes);
     }
 
-    /// It could not.
-    pub fn refused(&mut self) {
+    /// The complete list could not be parsed.
+    pub fn rejected(&mut self) {
         if let Some((from, edition)) = self.reading.take() {
             self.bar(from, edition);
         }
     }
 
-    /// Pieces that a member asks for, with their number and how many there are.
-    pub fn give(&mut self, now: Micros, wanted: Wanted) -> Vec<(u16, u16, &[u8])> {
+    /// Pieces that a member requests, each with its index and the number of pieces.
+    pub fn send_pieces(&mut self, now: Micros, request: PieceRequest) -> Vec<(u16, u16, &[u8])> {
         let Some(Held { edition, bytes, .. }) = &self.held else { return Vec::new() };
-        if *edition != wanted.edition {
+        if *edition != request.edition {
             return Vec::new();
         }
         if self.requests.take(0, now).is_err() {
             self.stats.unanswered += 1;
             return Vec::new();
         }
-        let count = transfer::pieces(bytes.len());
-        let asked = (0..transfer::WINDOW).filter(|bit| wanted.mask & (1 << bit) != 0);
-        let given: Vec<_> = asked
-            .map(|bit| usize::from(wanted.first) + bit)
+        let count = transfer::piece_count(bytes.len());
+        let requested = (0..transfer::PIECES_PER_REQUEST).filter(|bit| request.mask & (1 << bit) != 0);
+        let given: Vec<_> = requested
+            .map(|bit| usize::from(request.first) + bit)
             .filter_map(|index| Some((index as u16, count as u16, transfer::piece(bytes, index)?)))
             .collect();
         self.stats.given += given.len() as u64;
--- a/src/startup/lists/tests.rs
+++ b/src/startup/lists/tests.rs
@@ -16,56 +16,67 @@
     Holding { edition, digest: digest(bytes), age }
 }
 
-/// Takes a list over from a member that holds it.
-fn take(one: &mut Lists, now: Micros, from: SocketAddr, other: &mut Lists) -> Came {
-    let (asked, wanted) = one.tick(now).expect("it asks");
+/// Fetches a list from a member that holds it.
+fn fetch(member: &mut Lists, now: Micros, from: SocketAddr, other: &mut Lists) -> PieceResult {
+    let (asked, request) = member.tick(now).expect("it sends a request");
     assert_eq!(asked, from);
-    let mut came = Came::Nothing;
+    let mut result = PieceResult::Nothing;
     let pieces: Vec<(u16, u16, Vec<u8>)> =
-        other.give(now, wanted).into_iter().map(|(i, n, bytes)| (i, n, bytes.to_vec())).collect();
+        other.send_pieces(now, request).into_iter().map(|(i, n, bytes)| (i, n, bytes.to_vec())).collect();
     for (index, count, bytes) in pieces {
-        came = one.piece(now, from, (wanted.edition, index.into(), count.into()), &bytes);
+        result = member.piece(now, from, (request.edition, index.into(), count.into()), &bytes);
     }
-    came
+    result
 }
 
 #[test]
-fn at_a_start_few_ask_and_those_that_are_told_a_list_take_it_from_the_member() {
+fn at_startup_only_elected_members_call_discovery_and_others_fetch_the_announced_list() {
     let names: Vec<String> = (0..300).map(|number| format!("f{number}")).collect();
-    let mut ask = 0;
+    let mut callers = 0;
     for (place, me) in names.iter().enumerate() {
         let mut lists = Lists::new("c", me, true, place as u64, s(0.0));
-        assert!(!lists.may_ask(s(0.1)), "nobody is known yet");
-        lists.view(s(0.2), names.iter().map(String::as_str).filter(|one| one != me));
-        assert!(!lists.may_ask(s(0.5)), "others may have it");
-        ask += usize::from(lists.may_ask(s(1.8)));
+        assert!(!lists.may_call_discovery(s(0.1)), "no member is known yet");
+        lists.members_changed(s(0.2), names.iter().map(String::as_str).filter(|member| member != me));
+        assert!(!lists.may_call_discovery(s(0.5)), "other members may have the list");
+        callers += usize::from(lists.may_call_discovery(s(1.8)));
     }
-    assert_eq!(ask, 5);
+    assert_eq!(callers, 5);
     let mut holder = Lists::new("c", "a", false, 1, s(0.0));
-    assert!(holder.may_ask(s(0.0)), "the first of a cluster has nobody to wait for");
+    assert!(holder.may_call_discovery(s(0.0)), "the first member of a cluster waits for no other");
     holder.from_discovery(s(0.0), 41, b"the list");
-    let mut one = Lists::new("c", "b", true, 2, s(0.0));
-    one.view(s(0.4), names.iter().map(String::as_str));
-    one.told(s(0.5), at(1), holding(edition(0, 41), b"the list", Micros(500_000)));
-    assert_eq!(take(&mut one, s(0.5), at(1), &mut holder), Came::Whole(edition(0, 41), b"the list".to_vec()));
-    one.taken(edition(0, 41), b"the list".to_vec());
-    one.told(s(0.6), at(1), holding(edition(0, 41), b"the list", Micros(500_000)));
-    assert!(!one.may_ask(s(10.0)) && one.may_ask(s(90.0)), "it asks where no confirmation comes round");
+    let mut member = Lists::new("c", "b", true, 2, s(0.0));
+    member.members_changed(s(0.4), names.iter().map(String::as_str));
+    member.announced(s(0.5), at(1), holding(edition(0, 41), b"the list", Micros(500_000)));
+    assert_eq!(
+        fetch(&mut member, s(0.5), at(1), &mut holder),
+        PieceResult::Complete(edition(0, 41), b"the list".to_vec())
+    );
+    member.accepted(edition(0, 41), b"the list".to_vec());
+    member.announced(s(0.6), at(1), holding(edition(0, 41), b"the list", Micros(500_000)));
+    assert!(
+        !member.may_call_discovery(s(10.0)) && member.may_call_discovery(s(90.0)),
+        "it calls discovery if no confirmation arrives"
+    );
 }
 
-/// Those who watch hear nothing more, though others would: of 300 one is soon the first to ask, whatever it drew before.
+/// The elected members get no more answers, though others would. Of 300 members one soon calls
+/// discovery first, whatever its earlier draws were.
 #[test]
-fn where_confirmations_stop_one_after_another_asks() {
+fn without_confirmations_members_call_discovery_one_after_another() {
     let names: Vec<String> = (0..300).map(|number| format!("f{number}")).collect();
     let mut first: Vec<u64> = Vec::new();
     for (place, me) in names.iter().enumerate() {
         let mut lists = Lists::new("c", me, true, place as u64, s(0.0));
-        lists.view(s(0.2), names.iter().map(String::as_str).filter(|one| one != me));
-        lists.from_before(edition(0, 7), b"the list", None);
+        lists.members_changed(s(0.2), names.iter().map(String::as_str).filter(|member| member != me));
+        lists.restore(edition(0, 7), b"the list", None);
         for tenth in 5..100 {
-            lists.told(s(f64::from(tenth) / 10.0), at(1), holding(edition(0, 7), b"the list", Micros(0)));
+            lists.announced(
+                s(f64::from(tenth) / 10.0),
+                at(1),
+                holding(edition(0, 7), b"the list", Micros(0)),
+            );
         }
-        first.extend((0..1_000).find(|tenth| lists.lone_from() <= s(10.0 + *tenth as f64 / 10.0)));
+        first.extend((0..1_000).find(|tenth| lists.fallback_at() <= s(10.0 + *tenth as f64 / 10.0)));
     }
     first.sort();
     assert!((115..135).contains(&first[0]) && first[299] > 600, "{first:?}");
@@ -74,93 +85,99 @@
 }
 
 #[test]
-fn where_discovery_answers_nobody_the_others_ask_once_and_then_seldom() {
+fn members_call_silent_discovery_once_and_then_rarely() {
     let names: Vec<String> = (0..100).map(|number| format!("f{number}")).collect();
     let mut asks = 0;
     for (place, me) in names.iter().enumerate() {
         let mut lists = Lists::new("c", me, true, place as u64, s(0.0));
-        lists.view(s(0.2), names.iter().map(String::as_str).filter(|one| one != me));
+        lists.members_changed(s(0.2), names.iter().map(String::as_str).filter(|member| member != me));
         let mut now = s(0.3);
         while now < s(10.0) && !lists.elected() {
-            if lists.may_ask(now) {
+            if lists.may_call_discovery(now) {
                 asks += 1;
-                lists.asks(now);
+                lists.discovery_called(now);
             }
             now = now.plus(Micros(10_000));
         }
     }
-    // One in 250 ms, from 2 s on: at once they were 96.
+    // One call in 250 ms from 2 s on; without that spacing there were 96 calls.
     assert!((20..=44).contains(&asks), "{asks}");
-    // One that meets nobody goes on asking.
+    // A member that meets no other continues to call.
     let mut lists = Lists::new("c", "a", true, 1, s(0.0));
-    assert!(!lists.may_ask(s(1.9)));
-    lists.asks(s(4.0));
-    assert!(lists.may_ask(s(4.1)));
+    assert!(!lists.may_call_discovery(s(1.9)));
+    lists.discovery_called(s(4.0));
+    assert!(lists.may_call_discovery(s(4.1)));
 }
 
 #[test]
-fn an_older_or_forged_list_is_not_taken_and_another_member_is_asked() {
+fn older_or_forged_list_is_rejected_and_another_member_is_asked() {
     let mut good = Lists::new("c", "a", false, 1, s(0.0));
     good.from_discovery(s(0.0), 41, b"the list");
-    let mut liar = Lists::new("c", "l", false, 1, s(0.0));
-    liar.from_discovery(s(0.0), 41, b"other ones");
-    let mut one = Lists::new("c", "b", true, 2, s(0.0));
-    one.from_before(edition(0, 40), b"before", None);
-    one.told(s(0.1), at(9), holding(edition(0, 39), b"older", Micros(0)));
-    assert_eq!(one.tick(s(0.1)), None);
-    // What the liar gives is not what was announced for this edition.
-    one.told(s(0.1), at(9), holding(edition(0, 41), b"the list", Micros(0)));
-    assert_eq!(take(&mut one, s(0.1), at(9), &mut liar), Came::Torn(at(9)));
-    one.told(s(0.2), at(9), holding(edition(0, 41), b"the list", Micros(0)));
-    assert_eq!(one.tick(s(0.2)), None, "not asked again for it");
-    one.told(s(0.2), at(1), holding(edition(0, 41), b"the list", Micros(0)));
-    assert!(matches!(take(&mut one, s(0.2), at(1), &mut good), Came::Whole(..)));
-    // It is whole, but cannot be read: barred as well, and what was held stays.
-    one.refused();
-    assert_eq!((one.held().map(|held| held.0), one.stats.torn), (Some(edition(0, 40)), 2));
+    let mut forger = Lists::new("c", "l", false, 1, s(0.0));
+    forger.from_discovery(s(0.0), 41, b"other ones");
+    let mut member = Lists::new("c", "b", true, 2, s(0.0));
+    member.restore(edition(0, 40), b"before", None);
+    member.announced(s(0.1), at(9), holding(edition(0, 39), b"older", Micros(0)));
+    assert_eq!(member.tick(s(0.1)), None);
+    // The list that the other member sends does not match the announced digest of this edition.
+    member.announced(s(0.1), at(9), holding(edition(0, 41), b"the list", Micros(0)));
+    assert_eq!(fetch(&mut member, s(0.1), at(9), &mut forger), PieceResult::Mismatch(at(9)));
+    member.announced(s(0.2), at(9), holding(edition(0, 41), b"the list", Micros(0)));
+    assert_eq!(member.tick(s(0.2)), None, "the member is not asked for this edition again");
+    member.announced(s(0.2), at(1), holding(edition(0, 41), b"the list", Micros(0)));
+    assert!(matches!(fetch(&mut member, s(0.2), at(1), &mut good), PieceResult::Complete(..)));
+    // It is complete but cannot be parsed: its source is barred as well, and the held list stays.
+    member.rejected();
+    assert_eq!((member.held().map(|held| held.0), member.stats.torn), (Some(edition(0, 40)), 2));
 }
 
 #[test]
-fn a_storm_of_requests_is_answered_in_part_and_a_fleet_that_starts_in_full() {
+fn flood_of_requests_is_answered_in_part_and_a_starting_fleet_in_full() {
     let mut holder = Lists::new("c", "a", false, 1, s(0.0));
     holder.from_discovery(s(0.0), 41, &[b'x'; 20_000]);
-    let wanted = Wanted { edition: edition(0, 41), first: 0, mask: 0xff };
+    let request = PieceRequest { edition: edition(0, 41), first: 0, mask: 0xff };
     let mut answered = |from: f64, count: usize| {
-        let each = |one: usize| from + one as f64 / count as f64;
-        (0..count).filter(|&one| !holder.give(s(each(one)), wanted).is_empty()).count()
+        let sent_at = |number: usize| from + number as f64 / count as f64;
+        (0..count).filter(|&number| !holder.send_pieces(s(sent_at(number)), request).is_empty()).count()
     };
-    // 295 ask five watchers in their first second, in three steps each.
+    // 295 members ask five elected members in their first second, in three requests each.
     assert_eq!(answered(0.0, 59 * 3), 59 * 3);
     assert!((200..=270).contains(&answered(2.0, 20_000)));
-    assert_eq!(answered(4.0, 10), 10, "and whoever asks after it");
+    assert_eq!(answered(4.0, 10), 10, "and requests after it");
     assert!(holder.stats.unanswered > 19_000 && holder.stats.given < 500 * 8);
 }
 
 #[test]
-fn a_silent_member_is_left_for_another_and_a_newer_edition_for_an_older_one() {
-    let mut one = Lists::new("c", "b", true, 2, s(0.0));
+fn silent_member_is_replaced_by_another_and_a_newer_edition_is_preferred() {
+    let mut member = Lists::new("c", "b", true, 2, s(0.0));
     for port in [1, 2] {
-        one.told(s(0.0), at(port), holding(edition(0, 41), b"the list", Micros(0)));
+        member.announced(s(0.0), at(port), holding(edition(0, 41), b"the list", Micros(0)));
     }
     let (mut now, mut asked) = (s(0.0), Vec::new());
     while now < s(2.0) {
-        asked.extend(one.tick(now).map(|(from, _)| from.port()));
+        asked.extend(member.tick(now).map(|(from, _)| from.port()));
         now = now.plus(Micros(10_000));
     }
-    assert_eq!((asked.len(), asked[0] != asked[7], one.stats.silent), (8, true, 2), "{asked:?}");
-    one.told(s(2.0), at(1), holding(edition(0, 41), b"the list", Micros(0)));
-    one.told(s(2.0), at(3), holding(edition(0, 42), b"newer", Micros(0)));
-    assert_eq!(one.tick(s(2.0)).map(|(from, wanted)| (from, wanted.edition)), Some((at(3), edition(0, 42))));
+    assert_eq!((asked.len(), asked[0] != asked[7], member.stats.silent), (8, true, 2), "{asked:?}");
+    member.announced(s(2.0), at(1), holding(edition(0, 41), b"the list", Micros(0)));
+    member.announced(s(2.0), at(3), holding(edition(0, 42), b"newer", Micros(0)));
+    assert_eq!(
+        member.tick(s(2.0)).map(|(from, request)| (from, request.edition)),
+        Some((at(3), edition(0, 42)))
+    );
 }
 
 #[test]
-fn discovery_that_counts_anew_begins_an_epoch_that_goes_before() {
+fn restarted_generation_count_of_discovery_begins_a_higher_epoch() {
     let mut watcher = Lists::new("c", "a", false, 1, s(0.0));
     watcher.from_discovery(s(0.0), 900, b"before");
     watcher.from_discovery(s(1.0), 3, b"anew");
     assert_eq!(watcher.holding().map(|held| held.0), Some(edition(1, 3)));
-    let mut one = Lists::new("c", "b", true, 2, s(0.0));
-    one.from_before(edition(0, 900), b"before", None);
-    one.told(s(1.0), at(1), holding(edition(1, 3), b"anew", Micros(0)));
-    assert_eq!(take(&mut one, s(1.0), at(1), &mut watcher), Came::Whole(edition(1, 3), b"anew".to_vec()));
+    let mut member = Lists::new("c", "b", true, 2, s(0.0));
+    member.restore(edition(0, 900), b"before", None);
+    member.announced(s(1.0), at(1), holding(edition(1, 3), b"anew", Micros(0)));
+    assert_eq!(
+        fetch(&mut member, s(1.0), at(1), &mut watcher),
+        PieceResult::Complete(edition(1, 3), b"anew".to_vec())
+    );
 }
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -1,6 +1,6 @@
-//! What a forwarder does from its start until it serves, and how the list of service entries passes among members, so that
-//! hundreds that start together spare the list service. Decisions alone, no I/O; the design and what was measured:
-//! `docs/cold-start.md`.
+//! Startup of a forwarder until it serves, and the exchange of the endpoint list among members, so
+//! that hundreds of forwarders that start together do not overload the list service. These modules
+//! make decisions and do no I/O. Design and measurements: `docs/cold-start.md`.
 
 pub mod elect;
 pub mod kept;
@@ -9,23 +9,24 @@
 pub mod replay;
 pub mod transfer;
 
-/// Which list: a later epoch goes before a later generation, as discovery may begin its count anew.
+/// Version of an endpoint list. A later epoch takes precedence over a later generation, as
+/// discovery may restart its count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Edition {
-    /// Begun by whoever heard discovery tell a lower generation than was held.
+    /// Increased by a member to which discovery reports a lower generation than the one held.
     pub epoch: u32,
-    /// Discovery's number.
+    /// The generation that discovery reports.
     pub generation: u64,
 }
 
-/// What a member says that it holds.
+/// The endpoint list that a member reports to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// Which list.
+    /// Version of the list.
     pub edition: Edition,
-    /// Of its bytes: two members of one edition hold the same.
+    /// Digest of the list's bytes: members that hold the same edition have the same bytes.
     pub digest: u64,
-    /// How long ago discovery confirmed it, to anybody.
+    /// Time since discovery last confirmed the list to any member.
     pub age: crate::Micros,
 }
 
--- a/src/startup/ramp.rs
+++ b/src/startup/ramp.rs
@@ -1,128 +1,146 @@
-//! The first calls of many that start together: each forwarder holds back its first call to a destination until a moment of
-//! its own within a window that grows with the count of members starting, and goes on at its even part of the destination's
-//! limit, raised bit by bit until its start is over. A destination so meets them one after another, not all in the second in
-//! which a site is powered up, and not each of them with all that its journal held. Waits and pace are told to the decisions:
-//! nothing is called early, and nothing is taken for a failure.
+//! Limits the first calls of forwarders that start together. Each forwarder delays its first call
+//! to a destination until its own time in a window that grows with the number of members that are
+//! starting. It then sends at its equal share of the destination's limit, which rises gradually
+//! until its startup is over.
+//!
+//! So a destination receives the forwarders one after another, instead of all of them in the second
+//! in which a site is powered up, each with all messages of its journal. The delays and the send
+//! rate are inputs of the decision core: no call is made early, and no delay counts as a failure.
 
 use crate::{DestinationId, FirstPace, Micros};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A destination is taken to accept one more forwarder's first connection in this time, beside those that run on.
-const EACH: u64 = 15_000;
-/// Before who else starts is known, nothing is called for so long: members hear of each other within it.
-const LOOK_ROUND: u64 = 250_000;
-/// No window is longer, nor than this part of the shortest time that a class gives: messages wait meanwhile.
-const LONGEST: u64 = 3_000_000;
-const PART: u64 = 4;
-/// Whoever started within so long is starting still.
-pub const STARTING: Micros = Micros(10_000_000);
-/// The longest window and two seconds: whoever had something to send has begun.
-const SETTLED: Micros = Micros(5_000_000);
-/// After so long a forwarder holds nothing back any more.
-const OVER: Micros = Micros(20_000_000);
+/// Assumed time that a destination needs for the first connection of one more forwarder, besides
+/// those in service, in microseconds.
+const CONNECTION_INTERVAL_US: u64 = 15_000;
+/// Time without calls, in microseconds, in which the members learn of each other, before the number
+/// of starting members is known.
+const PEER_WAIT_US: u64 = 250_000;
+/// Maximum window in microseconds. It is also at most 1/`DEADLINE_FRACTION` of the shortest
+/// deadline of any class, as messages wait meanwhile.
+const MAX_WINDOW_US: u64 = 3_000_000;
+const DEADLINE_FRACTION: u64 = 4;
+/// A member counts as starting for this time after its start.
+pub const STARTING_FOR: Micros = Micros(10_000_000);
+/// The maximum window plus two seconds: by then every forwarder that had something to send has
+/// begun.
+const SETTLED_AFTER: Micros = Micros(5_000_000);
+/// After this time a forwarder holds nothing back.
+const STARTUP_OVER_AFTER: Micros = Micros(20_000_000);
 
-/// A forwarder among those who start.
+/// Position of a forwarder among the starting members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Among {
-    /// How many of them go before it, by name.
-    pub place: usize,
-    /// All of them, this one too.
+pub struct StartPosition {
+    /// Number of starting members that precede it by name.
+    pub index: usize,
+    /// Number of starting members, including this one.
     pub starting: usize,
 }
 
-impl Default for Among {
-    fn default() -> Among {
-        Among { place: 0, starting: 1 }
+impl Default for StartPosition {
+    fn default() -> StartPosition {
+        StartPosition { index: 0, starting: 1 }
     }
 }
 
-/// One forwarder's start.
+/// Startup of one forwarder.
 pub struct Ramp {
-    /// When the first destination was known: where a list passes round, all have it in one moment.
-    began: Option<Micros>,
+    /// Time at which the first destination was known. If members pass on a list, all learn it at the
+    /// same moment.
+    started_at: Option<Micros>,
     seed: u64,
-    longest: u64,
+    max_window: u64,
     window: u64,
-    /// Those that were told to wait while this one looks round.
-    told: BTreeSet<DestinationId>,
-    /// Those that something waits for by then: the journal held it, or clients had kept it. What comes later comes one by one.
-    wanted: BTreeSet<DestinationId>,
-    /// It has looked round.
-    parted: bool,
+    /// Destinations that were delayed until the other members are known.
+    delayed: BTreeSet<DestinationId>,
+    /// Destinations for which messages wait at the end of `PEER_WAIT_US`, from the journal or held by
+    /// clients. Later messages arrive one by one.
+    waiting: BTreeSet<DestinationId>,
+    /// The number of starting members is known and the window assigned.
+    window_assigned: bool,
 }
 
 impl Ramp {
-    /// Of a forwarder that begins now; each of its messages has so long at the least.
+    /// Creates the state at the start of a forwarder. `shortest`: the shortest deadline of any class.
     pub fn new(seed: u64, shortest: Micros) -> Ramp {
-        let longest = LONGEST.min(shortest.0 / PART);
-        let (told, wanted) = (BTreeSet::new(), BTreeSet::new());
-        Ramp { began: None, seed, longest, window: 0, told, wanted, parted: false }
+        let max_window = MAX_WINDOW_US.min(shortest.0 / DEADLINE_FRACTION);
+        let (delayed, waiting) = (BTreeSet::new(), BTreeSet::new());
+        Ramp { started_at: None, seed, max_window, window: 0, delayed, waiting, window_assigned: false }
     }
 
-    /// A message for this destination was in the journal, or is handed in.
-    pub fn wants(&mut self, now: Micros, destination: DestinationId) {
-        if self.began.is_none_or(|began| now < began.plus(Micros(LOOK_ROUND))) {
-            self.wanted.insert(destination);
+    /// Records that a message for this destination was in the journal or is submitted.
+    pub fn message_waiting(&mut self, now: Micros, destination: DestinationId) {
+        if self.started_at.is_none_or(|started_at| now < started_at.plus(Micros(PEER_WAIT_US))) {
+            self.waiting.insert(destination);
         }
     }
 
-    /// Its first calls are made, or nobody starts beside it.
+    /// Whether the first calls are made, or no other member is starting.
     pub fn settled(&self, now: Micros) -> bool {
-        let since = |length| self.began.is_some_and(|began| now >= began.plus(length));
-        since(SETTLED) || self.parted && self.window == 0
+        let since = |length| self.started_at.is_some_and(|started_at| now >= started_at.plus(length));
+        since(SETTLED_AFTER) || self.window_assigned && self.window == 0
     }
 
-    /// Where the start stands, for those who look: the window for first calls in seconds, and how far its pace is raised.
+    /// Figures for operators: the window for first calls in seconds, and the factor by which the send
+    /// rate is raised.
     pub fn figures(&self, now: Micros) -> (f64, f64) {
-        let raised = self.pace(now).map_or(f64::INFINITY, |pace| pace.raised);
+        let raised = self.send_rate(now).map_or(f64::INFINITY, |rate| rate.raised);
         (self.window as f64 / 1e6, (raised * 100.0).round() / 100.0)
     }
 
-    /// The pace that this forwarder begins with; none once its start is over, and nothing is held back any more.
-    pub fn pace(&self, now: Micros) -> Option<FirstPace> {
-        let age = self.began.map_or(0.0, |began| now.minus(began).0 as f64 / OVER.0 as f64);
-        let least = 1e6 / self.window.max(EACH) as f64;
+    /// Initial send rate, or `None` once the startup is over and nothing is held back.
+    pub fn send_rate(&self, now: Micros) -> Option<FirstPace> {
+        let age = self
+            .started_at
+            .map_or(0.0, |started_at| now.minus(started_at).0 as f64 / STARTUP_OVER_AFTER.0 as f64);
+        let least = 1e6 / self.window.max(CONNECTION_INTERVAL_US) as f64;
         (age < 1.0).then(|| FirstPace { least, raised: 1.0 / (1.0 - age * age) })
     }
 
-    /// Who starts, this one among them: until when which destinations are to wait. All of them while it looks round; then those
-    /// that something waits for, again where more are seen to start. Cost: the destinations, while it looks round.
-    pub fn waits(
+    /// Destinations to delay, each with the end of its delay, given this forwarder's position among the
+    /// starting members. All destinations during `PEER_WAIT_US`; then those for which messages wait,
+    /// again when more members are seen to start. Cost: the number of destinations, during
+    /// `PEER_WAIT_US`.
+    pub fn delays(
         &mut self,
         now: Micros,
-        among: Among,
+        position: StartPosition,
         destinations: impl Iterator<Item = DestinationId>,
     ) -> Vec<(DestinationId, Micros)> {
-        let window = (EACH * (among.starting as u64).saturating_sub(1)).min(self.longest);
-        let grown = window > self.window;
+        let window =
+            (CONNECTION_INTERVAL_US * (position.starting as u64).saturating_sub(1)).min(self.max_window);
+        let has_grown = window > self.window;
         self.window = self.window.max(window);
-        if !self.parted {
-            let fresh: Vec<DestinationId> = destinations.filter(|one| self.told.insert(*one)).collect();
-            let Some(began) = self.began.or((!fresh.is_empty()).then_some(now)) else { return Vec::new() };
-            self.began = Some(began);
-            let until = began.plus(Micros(LOOK_ROUND));
+        if !self.window_assigned {
+            let new: Vec<DestinationId> = destinations.filter(|one| self.delayed.insert(*one)).collect();
+            let Some(started_at) = self.started_at.or((!new.is_empty()).then_some(now)) else {
+                return Vec::new();
+            };
+            self.started_at = Some(started_at);
+            let until = started_at.plus(Micros(PEER_WAIT_US));
             if now < until {
-                return fresh.into_iter().map(|one| (one, until)).collect();
+                return new.into_iter().map(|one| (one, until)).collect();
             }
         }
-        if std::mem::replace(&mut self.parted, true) && !grown {
+        if std::mem::replace(&mut self.window_assigned, true) && !has_grown {
             return Vec::new();
         }
-        let began = self.began.unwrap_or(now).plus(Micros(LOOK_ROUND));
-        let part = |one| began.plus(Micros((self.window as f64 * self.moment(among, one)) as u64));
-        let waits = self.wanted.iter().map(|&one| (one, part(one)));
-        waits.filter(|&(_, until)| until > now).collect()
+        let started_at = self.started_at.unwrap_or(now).plus(Micros(PEER_WAIT_US));
+        let delay_until =
+            |one| started_at.plus(Micros((self.window as f64 * self.window_position(position, one)) as u64));
+        let delays = self.waiting.iter().map(|&one| (one, delay_until(one)));
+        delays.filter(|&(_, until)| until > now).collect()
     }
 
-    /// Where in the window: each who starts has a part of it to itself, in the order of their names, which begins elsewhere for
-    /// each destination; within its part the moment is a draw of its own.
-    fn moment(&self, among: Among, destination: DestinationId) -> f64 {
+    /// Position in the window, 0 to 1. Each starting member has its own section, in the order of names,
+    /// rotated for each destination; within its section the position is random.
+    fn window_position(&self, position: StartPosition, destination: DestinationId) -> f64 {
         let unit = |hash: u64| (hash >> 11) as f64 / (1u64 << 53) as f64;
         let destination = destination.0.to_le_bytes();
-        let own = unit(xxh3_64_with_seed(&destination, self.seed));
-        let part = (among.place as f64 + own) / among.starting.max(1) as f64;
-        (part + unit(xxh3_64(&destination))).fract()
+        let offset = unit(xxh3_64_with_seed(&destination, self.seed));
+        let section = (position.index as f64 + offset) / position.starting.max(1) as f64;
+        (section + unit(xxh3_64(&destination))).fract()
     }
 }
 
--- a/src/startup/transfer.rs
+++ b/src/startup/transfer.rs
@@ -1,141 +1,148 @@
-//! A list in pieces: what the holder gives out, and how whoever asks for it puts it together. Pieces may be lost, come
-//! twice or out of order; the list counts once it is whole and its digest is the one that was announced.
+//! Transfer of an endpoint list in pieces. Pieces may be lost, duplicated or reordered; the list is
+//! valid once it is complete and has the announced digest.
 
 use super::{digest, Edition};
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Bytes of a piece.
-pub const PIECE: usize = 1_000;
-/// Pieces of one request at most.
-pub const WINDOW: usize = 8;
-/// Pieces of a list at most: four megabytes.
-pub const MOST_PIECES: usize = 4_096;
-/// A request without a new piece for so long is repeated...
-const PATIENCE: Micros = Micros(150_000);
-/// ...so many times in a row.
-const SILENCES: u32 = 3;
+/// Maximum size of a piece in bytes.
+pub const PIECE_BYTES: usize = 1_000;
+/// Maximum number of pieces in a request.
+pub const PIECES_PER_REQUEST: usize = 8;
+/// Maximum number of pieces of a list: four megabytes.
+pub const MAX_PIECES: usize = 4_096;
+/// A request is repeated if no new piece arrives for this time.
+const REPEAT_AFTER: Micros = Micros(150_000);
+/// Maximum number of repetitions in a row.
+const MAX_REPETITIONS: u32 = 3;
 
-/// So many pieces has a list.
-pub fn pieces(length: usize) -> usize {
-    length.div_ceil(PIECE).max(1)
+/// Number of pieces of a list of this length in bytes.
+pub fn piece_count(length: usize) -> usize {
+    length.div_ceil(PIECE_BYTES).max(1)
 }
 
-/// One piece of a list.
+/// Returns one piece of a list.
 pub fn piece(bytes: &[u8], index: usize) -> Option<&[u8]> {
-    (index < pieces(bytes.len())).then(|| &bytes[index * PIECE..bytes.len().min((index + 1) * PIECE)])
+    (index < piece_count(bytes.len()))
+        .then(|| &bytes[index * PIECE_BYTES..bytes.len().min((index + 1) * PIECE_BYTES)])
 }
 
-/// What a fetch asks for: the pieces from `first` on whose bits are set.
+/// Request for the pieces from `first` on whose bits are set in `mask`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Wanted {
+pub struct PieceRequest {
     pub edition: Edition,
     pub first: u16,
     pub mask: u8,
 }
 
-/// How a fetch stands.
+/// State of a fetch after a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Pieces are missing.
+    /// Requested pieces are missing.
     Waiting,
-    /// The next are to be asked for.
-    Ask(Wanted),
-    /// All are there.
-    Whole(Vec<u8>),
-    /// They do not make up what was announced, or contradict each other: whoever gave them is not to be asked again.
-    Torn,
+    /// The next request is to be sent.
+    Request(PieceRequest),
+    /// The list is complete.
+    Complete(Vec<u8>),
+    /// The pieces contradict each other or do not match the announced digest: the list must not be
+    /// requested from this member again.
+    Mismatch,
 }
 
-/// The member does not answer: another is to be asked.
+/// The member does not answer: another one is to be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Silent;
+pub struct NoAnswer;
 
-/// A list that is being put together, from one member.
+/// Transfer of a list from one member.
 pub struct Fetch {
-    /// Who gives it.
+    /// The member that sends the list.
     pub from: SocketAddr,
-    /// Which.
+    /// The edition requested.
     pub edition: Edition,
     digest: u64,
-    /// As many as there are, once the first has told.
-    parts: Vec<Option<Vec<u8>>>,
+    /// Empty until the first piece reports the number of pieces.
+    pieces: Vec<Option<Vec<u8>>>,
     missing: usize,
-    asked: Option<(Micros, u16, u8)>,
-    silences: u32,
+    last_request: Option<(Micros, u16, u8)>,
+    repetitions: u32,
 }
 
 impl Fetch {
-    /// Begins; nothing has been asked yet.
+    /// Starts a fetch; no request has been sent yet.
     pub fn new(from: SocketAddr, edition: Edition, digest: u64) -> Fetch {
-        Fetch { from, edition, digest, parts: Vec::new(), missing: 1, asked: None, silences: 0 }
+        Fetch { from, edition, digest, pieces: Vec::new(), missing: 1, last_request: None, repetitions: 0 }
     }
 
-    /// The next request.
-    pub fn ask(&mut self, now: Micros) -> Wanted {
-        let first = self.parts.iter().position(Option::is_none).unwrap_or(0);
-        let open = |bit: &usize| match self.parts.get(first + bit) {
-            Some(part) => part.is_none(),
-            // Nothing is known of how many there are: the first one tells.
-            None => self.parts.is_empty() && *bit == 0,
+    /// Returns the next request.
+    pub fn ask(&mut self, now: Micros) -> PieceRequest {
+        let first = self.pieces.iter().position(Option::is_none).unwrap_or(0);
+        let is_missing = |bit: &usize| match self.pieces.get(first + bit) {
+            Some(piece) => piece.is_none(),
+            // The number of pieces is unknown until the first one arrives.
+            None => self.pieces.is_empty() && *bit == 0,
         };
-        let mask = (0..WINDOW).filter(open).fold(0, |mask, bit| mask | 1 << bit);
-        self.asked = Some((now, first as u16, mask));
-        Wanted { edition: self.edition, first: first as u16, mask }
+        let mask = (0..PIECES_PER_REQUEST).filter(is_missing).fold(0, |mask, bit| mask | 1 << bit);
+        self.last_request = Some((now, first as u16, mask));
+        PieceRequest { edition: self.edition, first: first as u16, mask }
     }
 
-    /// A piece came.
+    /// Processes a piece.
     pub fn piece(&mut self, now: Micros, index: usize, count: usize, bytes: &[u8]) -> Progress {
-        if count == 0 || count > MOST_PIECES || index >= count || bytes.len() > PIECE {
-            return Progress::Torn;
+        if count == 0 || count > MAX_PIECES || index >= count || bytes.len() > PIECE_BYTES {
+            return Progress::Mismatch;
         }
-        if self.parts.is_empty() {
-            self.parts = vec![None; count];
+        if self.pieces.is_empty() {
+            self.pieces = vec![None; count];
             self.missing = count;
         }
-        let short = index + 1 < count && bytes.len() != PIECE;
-        if self.parts.len() != count || short {
-            return Progress::Torn;
+        let too_short = index + 1 < count && bytes.len() != PIECE_BYTES;
+        if self.pieces.len() != count || too_short {
+            return Progress::Mismatch;
         }
-        if self.parts[index].is_some() {
+        if self.pieces[index].is_some() {
             return Progress::Waiting;
         }
-        self.parts[index] = Some(bytes.to_vec());
+        self.pieces[index] = Some(bytes.to_vec());
         self.missing -= 1;
-        self.silences = 0;
+        self.repetitions = 0;
         if self.missing == 0 {
-            let whole: Vec<u8> = self.parts.drain(..).flatten().flatten().collect();
-            return if digest(&whole) == self.digest { Progress::Whole(whole) } else { Progress::Torn };
+            let whole: Vec<u8> = self.pieces.drain(..).flatten().flatten().collect();
+            return if digest(&whole) == self.digest {
+                Progress::Complete(whole)
+            } else {
+                Progress::Mismatch
+            };
         }
-        let all_there = self.asked.is_none_or(|(_, first, mask)| {
-            (0..WINDOW).all(|bit| {
-                mask & (1 << bit) == 0 || self.parts.get(usize::from(first) + bit).is_none_or(Option::is_some)
+        let request_complete = self.last_request.is_none_or(|(_, first, mask)| {
+            (0..PIECES_PER_REQUEST).all(|bit| {
+                mask & (1 << bit) == 0
+                    || self.pieces.get(usize::from(first) + bit).is_none_or(Option::is_some)
             })
         });
-        if all_there {
-            return Progress::Ask(self.ask(now));
+        if request_complete {
+            return Progress::Request(self.ask(now));
         }
-        if let Some((at, ..)) = &mut self.asked {
+        if let Some((at, ..)) = &mut self.last_request {
             *at = now;
         }
         Progress::Waiting
     }
 
-    /// When it is to be looked at again.
+    /// Time at which [`Fetch::tick`] is due.
     pub fn due(&self) -> Micros {
-        self.asked.map_or(Micros(0), |(at, ..)| at.plus(PATIENCE))
+        self.last_request.map_or(Micros(0), |(at, ..)| at.plus(REPEAT_AFTER))
     }
 
-    /// Time passes: the request to repeat, if any; `Err` where the member is silent.
-    pub fn tick(&mut self, now: Micros) -> Result<Option<Wanted>, Silent> {
+    /// Advances time. Returns the request to repeat, if any, or `Err` if the member is silent.
+    pub fn tick(&mut self, now: Micros) -> Result<Option<PieceRequest>, NoAnswer> {
         if now < self.due() {
             return Ok(None);
         }
-        if self.asked.is_some() {
-            self.silences += 1;
-            if self.silences > SILENCES {
-                return Err(Silent);
+        if self.last_request.is_some() {
+            self.repetitions += 1;
+            if self.repetitions > MAX_REPETITIONS {
+                return Err(NoAnswer);
             }
         }
         Ok(Some(self.ask(now)))
--- a/src/startup/transfer/tests.rs
+++ b/src/startup/transfer/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_list_comes_together_though_pieces_are_lost_repeated_and_out_of_order() {
+fn list_is_assembled_from_lost_duplicated_and_reordered_pieces() {
     let mut random = fastrand::Rng::with_seed(5);
     for length in [0, 1, 999, 1_000, 1_001, 8_000, 25_500] {
         let bytes: Vec<u8> = std::iter::repeat_with(|| random.u8(..)).take(length).collect();
@@ -20,23 +20,24 @@
             let mut wanted = fetch.tick(now).expect("the member answers");
             random.shuffle(&mut under_way);
             for index in std::mem::take(&mut under_way) {
-                match fetch.piece(now, index, pieces(length), piece(&bytes, index).unwrap()) {
-                    Progress::Ask(next) => wanted = Some(next),
-                    Progress::Whole(all) => {
+                match fetch.piece(now, index, piece_count(length), piece(&bytes, index).unwrap()) {
+                    Progress::Request(next) => wanted = Some(next),
+                    Progress::Complete(all) => {
                         assert_eq!(all, bytes);
                         whole = true;
                         break;
                     }
                     Progress::Waiting => {}
-                    Progress::Torn => panic!("nothing is torn"),
+                    Progress::Mismatch => panic!("no piece mismatches"),
                 }
             }
-            if let Some(Wanted { first, mask, .. }) = wanted {
+            if let Some(PieceRequest { first, mask, .. }) = wanted {
                 asks += 1;
-                let asked =
-                    (0..WINDOW).filter(|bit| mask & (1 << bit) != 0).map(|bit| usize::from(first) + bit);
-                for index in asked.filter(|&index| index < pieces(length)) {
-                    // One in five is lost; one in five comes twice.
+                let asked = (0..PIECES_PER_REQUEST)
+                    .filter(|bit| mask & (1 << bit) != 0)
+                    .map(|bit| usize::from(first) + bit);
+                for index in asked.filter(|&index| index < piece_count(length)) {
+                    // One in five is lost; one in five is duplicated.
                     let lot = random.u32(0..5);
                     under_way.extend(std::iter::repeat_n(
                         index,
@@ -45,28 +46,29 @@
                 }
             }
         }
-        assert!(now < Micros(4_000_000) && asks <= 3 + 3 * pieces(length), "{length}: {now:?} {asks}");
+        assert!(now < Micros(4_000_000) && asks <= 3 + 3 * piece_count(length), "{length}: {now:?} {asks}");
     }
 }
 
 #[test]
-fn what_is_not_what_was_announced_is_torn() {
+fn pieces_that_contradict_the_announcement_are_a_mismatch() {
     let bytes = vec![7; 2_500];
-    let torn =
-        |index, count, part: &[u8]| fetch(&bytes).piece(Micros(0), index, count, part) == Progress::Torn;
-    assert!(torn(0, 0, &[]) && torn(3, 3, &[]) && torn(0, MOST_PIECES + 1, &[0; PIECE]));
+    let torn = |index, count, bytes_of_piece: &[u8]| {
+        fetch(&bytes).piece(Micros(0), index, count, bytes_of_piece) == Progress::Mismatch
+    };
+    assert!(torn(0, 0, &[]) && torn(3, 3, &[]) && torn(0, MAX_PIECES + 1, &[0; PIECE_BYTES]));
     assert!(torn(0, 3, &[0; 10]), "a short piece that is not the last");
     let mut one = fetch(&bytes);
-    assert!(matches!(one.piece(Micros(0), 0, 3, &[7; PIECE]), Progress::Ask(_)));
-    assert_eq!(one.piece(Micros(0), 1, 4, &[7; PIECE]), Progress::Torn, "another count");
+    assert!(matches!(one.piece(Micros(0), 0, 3, &[7; PIECE_BYTES]), Progress::Request(_)));
+    assert_eq!(one.piece(Micros(0), 1, 4, &[7; PIECE_BYTES]), Progress::Mismatch, "another count");
     let mut one = fetch(&bytes);
-    one.piece(Micros(0), 0, 3, &[7; PIECE]);
-    one.piece(Micros(0), 1, 3, &[8; PIECE]);
-    assert_eq!(one.piece(Micros(0), 2, 3, &[7; 500]), Progress::Torn, "another digest");
+    one.piece(Micros(0), 0, 3, &[7; PIECE_BYTES]);
+    one.piece(Micros(0), 1, 3, &[8; PIECE_BYTES]);
+    assert_eq!(one.piece(Micros(0), 2, 3, &[7; 500]), Progress::Mismatch, "another digest");
 }
 
 #[test]
-fn a_member_that_is_silent_three_times_is_given_up() {
+fn member_silent_through_three_repetitions_is_abandoned() {
     let mut one = fetch(b"x");
     let mut now = Micros(0);
     let mut asked = 0;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -5,7 +5,7 @@
 
 use cedarwharf::membership::wire::Key;
 use cedarwharf::membership::{Identity, Node, Output, Settings};
-use cedarwharf::startup::kept::Kept;
+use cedarwharf::startup::kept::CachedList;
 use cedarwharf::startup::{digest, Edition};
 use cedarwharf::Micros;
 use std::net::UdpSocket;
@@ -181,7 +181,7 @@
         .into_iter()
         .filter(|&member| fleet.told(member, "/ops/stats")["membership"]["list"]["watches"] == true);
     let watching = watching.count();
-    assert_eq!(watching, cedarwharf::startup::elect::watchers(30));
+    assert_eq!(watching, cedarwharf::startup::elect::elected_count(30));
     let mut slowest = Duration::ZERO;
     for round in 8..11 {
         fleet.discovery.tell(round, fleet.entries(if round % 2 == 0 { "draining" } else { "up" }));
@@ -373,10 +373,10 @@
         let list =
             format!("{{\"generation\":{generation},\"reset\":true,\"instances\":[{}]}}", fleet.entries("up"));
         let edition = Edition { epoch: 0, generation };
-        let kept = Kept { edition, confirmed: Micros(now), bytes: list.into_bytes() };
+        let kept = CachedList { edition, confirmed: Micros(now), bytes: list.into_bytes() };
         let folder = fleet.folder.join(format!("f{member}/state"));
         std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("list.kept"), kept.write()).unwrap();
+        std::fs::write(folder.join("list.kept"), kept.encode()).unwrap();
     }
     fleet.all().into_iter().for_each(|member| fleet.start(member));
     fleet.until("all have the newest", SOON, |fleet| {
@@ -486,9 +486,9 @@
     fleet.discovery.set(Mode::Silent);
     let edition = Edition { epoch: 0, generation: 13 };
     let bytes = format!("{{\"generation\":13,\"reset\":true,\"instances\":[{}]}}", fleet.entries("up"));
-    let kept = Kept { edition, confirmed: Micros(1_000_000), bytes: bytes.into_bytes() };
+    let kept = CachedList { edition, confirmed: Micros(1_000_000), bytes: bytes.into_bytes() };
     std::fs::create_dir_all(fleet.folder.join("f0/state")).unwrap();
-    std::fs::write(fleet.folder.join("f0/state/list.kept"), kept.write()).unwrap();
+    std::fs::write(fleet.folder.join("f0/state/list.kept"), kept.encode()).unwrap();
     let begun = Instant::now();
     fleet.start(0);
     fleet.until("ready", SOON, |fleet| ready(fleet, 0));
