--- a/src/maintenance/agent.rs
+++ b/src/maintenance/agent.rs
@@ -100,7 +100,7 @@
 
 impl Stage {
     /// Name of the stage, for operators.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Stage::Leaving => "leaving",
             Stage::Out => "out",
@@ -315,7 +315,7 @@
         }
     }
 
-    /// To each voter, this forwarder among them.
+    /// Sends the message to each voter, including this forwarder.
     fn to_voters(&self, message: &Message, out: &mut Vec<Output>) {
         out.extend(self.voters.iter().map(|voter| Output::Send(voter.clone(), message.clone())));
     }
--- a/src/maintenance/register/tests.rs
+++ b/src/maintenance/register/tests.rs
@@ -61,8 +61,7 @@
 }
 
 #[test]
-fn proposer_preempted_by_a_higher_ballot_changes_nothing_and_the_next_one_completes_a_partly_accepted_change()
-{
+fn preempted_proposer_changes_nothing_and_the_next_completes_a_partly_accepted_change() {
     let mut voters = vec![Acceptor::default(); 3];
     let (mut slow, prepare) = Proposal::new(ballot(1, "slow"), add_plan("slow"), 3);
     let Progress::Send(accept) = send(&mut voters, &[0, 1], &mut slow, &prepare) else { panic!() };
@@ -93,15 +92,15 @@
 #[test]
 fn duplicate_and_late_answers_change_nothing() {
     let mut voters = vec![Acceptor::default(); 3];
-    let (mut one, prepare) = Proposal::new(ballot(1, "x"), add_plan("one"), 3);
+    let (mut proposal, prepare) = Proposal::new(ballot(1, "x"), add_plan("one"), 3);
     let (promise, changed) = voters[0].handle(&prepare).unwrap();
     assert!(changed && !voters[0].handle(&prepare).unwrap().1, "the second time there is nothing to write");
-    assert_eq!(one.receive("v0", &promise), Progress::Waiting);
-    assert_eq!(one.receive("v0", &promise), Progress::Waiting, "one voter counts once");
-    assert_eq!(one.receive("v1", &Message::Accepted(ballot(1, "x"))), Progress::Waiting);
+    assert_eq!(proposal.receive("v0", &promise), Progress::Waiting);
+    assert_eq!(proposal.receive("v0", &promise), Progress::Waiting, "one voter counts once");
+    assert_eq!(proposal.receive("v1", &Message::Accepted(ballot(1, "x"))), Progress::Waiting);
     assert_eq!(
-        one.receive("v1", &Message::TooLow { ballot: ballot(0, "x"), promised: ballot(9, "y") }),
+        proposal.receive("v1", &Message::TooLow { ballot: ballot(0, "x"), promised: ballot(9, "y") }),
         Progress::Waiting
     );
-    assert!(matches!(one.current_request(), Some(Message::Prepare(_))));
+    assert!(matches!(proposal.current_request(), Some(Message::Prepare(_))));
 }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -229,7 +229,7 @@
         let (ledger, heard) = self.agent.ledger();
         let seconds = |time: Micros| (time.0 / 1_000) as f64 / 1e3;
         let mine = self.agent.own_lease().map(|mine| {
-            json!({ "stage": mine.stage.word(), "fence": mine.fence.0, "left_s": seconds(mine.until.minus(now)) })
+            json!({ "stage": mine.stage.name(), "fence": mine.fence.0, "left_s": seconds(mine.until.minus(now)) })
         });
         let out = ledger.leases.iter().map(|lease| {
             json!({
@@ -250,7 +250,7 @@
         let (ledger, _) = self.agent.ledger();
         json!({
             "version": ledger.version, "out": ledger.leases.len(), "votes": self.agent.votes(),
-            "stage": self.agent.own_lease().map(|mine| mine.stage.word()),
+            "stage": self.agent.own_lease().map(|mine| mine.stage.name()),
             "sent": self.sent, "other_voters": self.foreign, "dropped": self.dropped,
         })
     }
--- a/src/startup/lists.rs
+++ b/src/startup/lists.rs
@@ -107,7 +107,7 @@
     held: Option<Held>,
     fetch: Option<Fetch>,
     /// Source and edition of a complete list that is being parsed.
-    reading: Option<(SocketAddr, Edition)>,
+    parsing: Option<(SocketAddr, Edition)>,
     /// Members that hold the newest edition that is not held here, and its digest.
     sources: Vec<(SocketAddr, Edition, u64)>,
     barred: BTreeMap<SocketAddr, Edition>,
@@ -142,7 +142,7 @@
             random,
             held: None,
             fetch: None,
-            reading: None,
+            parsing: None,
             sources: Vec::new(),
             barred: BTreeMap::new(),
             elected: !seeded,
@@ -296,7 +296,7 @@
                 }
             }
         }
-        if self.reading.is_some() || self.sources.is_empty() {
+        if self.parsing.is_some() || self.sources.is_empty() {
             return None;
         }
         // A random source: otherwise all members of a fleet would ask the first one.
@@ -329,7 +329,7 @@
             }
             Progress::Complete(whole) => {
                 self.fetch = None;
-                self.reading = Some((from, edition));
+                self.parsing = Some((from, edition));
                 PieceResult::Complete(edition, whole)
             }
             Progress::Mismatch => {
@@ -350,7 +350,7 @@
 
     /// The complete list could be parsed and is in force.
     pub fn accepted(&mut self, edition: Edition, bytes: Vec<u8>) {
-        self.reading = None;
+        self.parsing = None;
         self.sources.retain(|&(_, announced, _)| announced > edition);
         self.stats.taken += 1;
         self.held = Held::new(edition, &bytes);
@@ -358,7 +358,7 @@
 
     /// The complete list could not be parsed.
     pub fn rejected(&mut self) {
-        if let Some((from, edition)) = self.reading.take() {
+        if let Some((from, edition)) = self.parsing.take() {
             self.bar(from, edition);
         }
     }
--- a/src/startup/lists/tests.rs
+++ b/src/startup/lists/tests.rs
@@ -33,8 +33,8 @@
 fn at_startup_only_elected_members_call_discovery_and_others_fetch_the_announced_list() {
     let names: Vec<String> = (0..300).map(|number| format!("f{number}")).collect();
     let mut callers = 0;
-    for (place, me) in names.iter().enumerate() {
-        let mut lists = Lists::new("c", me, true, place as u64, s(0.0));
+    for (index, me) in names.iter().enumerate() {
+        let mut lists = Lists::new("c", me, true, index as u64, s(0.0));
         assert!(!lists.may_call_discovery(s(0.1)), "no member is known yet");
         lists.members_changed(s(0.2), names.iter().map(String::as_str).filter(|member| member != me));
         assert!(!lists.may_call_discovery(s(0.5)), "other members may have the list");
@@ -65,8 +65,8 @@
 fn without_confirmations_members_call_discovery_one_after_another() {
     let names: Vec<String> = (0..300).map(|number| format!("f{number}")).collect();
     let mut first: Vec<u64> = Vec::new();
-    for (place, me) in names.iter().enumerate() {
-        let mut lists = Lists::new("c", me, true, place as u64, s(0.0));
+    for (index, me) in names.iter().enumerate() {
+        let mut lists = Lists::new("c", me, true, index as u64, s(0.0));
         lists.members_changed(s(0.2), names.iter().map(String::as_str).filter(|member| member != me));
         lists.restore(edition(0, 7), b"the list", None);
         for tenth in 5..100 {
@@ -87,21 +87,21 @@
 #[test]
 fn members_call_silent_discovery_once_and_then_rarely() {
     let names: Vec<String> = (0..100).map(|number| format!("f{number}")).collect();
-    let mut asks = 0;
-    for (place, me) in names.iter().enumerate() {
-        let mut lists = Lists::new("c", me, true, place as u64, s(0.0));
+    let mut calls = 0;
+    for (index, me) in names.iter().enumerate() {
+        let mut lists = Lists::new("c", me, true, index as u64, s(0.0));
         lists.members_changed(s(0.2), names.iter().map(String::as_str).filter(|member| member != me));
         let mut now = s(0.3);
         while now < s(10.0) && !lists.elected() {
             if lists.may_call_discovery(now) {
-                asks += 1;
+                calls += 1;
                 lists.discovery_called(now);
             }
             now = now.plus(Micros(10_000));
         }
     }
     // One call in 250 ms from 2 s on; without that spacing there were 96 calls.
-    assert!((20..=44).contains(&asks), "{asks}");
+    assert!((20..=44).contains(&calls), "{calls}");
     // A member that meets no other continues to call.
     let mut lists = Lists::new("c", "a", true, 1, s(0.0));
     assert!(!lists.may_call_discovery(s(1.9)));
@@ -111,8 +111,8 @@
 
 #[test]
 fn older_or_forged_list_is_rejected_and_another_member_is_asked() {
-    let mut good = Lists::new("c", "a", false, 1, s(0.0));
-    good.from_discovery(s(0.0), 41, b"the list");
+    let mut honest = Lists::new("c", "a", false, 1, s(0.0));
+    honest.from_discovery(s(0.0), 41, b"the list");
     let mut forger = Lists::new("c", "l", false, 1, s(0.0));
     forger.from_discovery(s(0.0), 41, b"other ones");
     let mut member = Lists::new("c", "b", true, 2, s(0.0));
@@ -125,7 +125,7 @@
     member.announced(s(0.2), at(9), holding(edition(0, 41), b"the list", Micros(0)));
     assert_eq!(member.tick(s(0.2)), None, "the member is not asked for this edition again");
     member.announced(s(0.2), at(1), holding(edition(0, 41), b"the list", Micros(0)));
-    assert!(matches!(fetch(&mut member, s(0.2), at(1), &mut good), PieceResult::Complete(..)));
+    assert!(matches!(fetch(&mut member, s(0.2), at(1), &mut honest), PieceResult::Complete(..)));
     // It is complete but cannot be parsed: its source is barred as well, and the held list stays.
     member.rejected();
     assert_eq!((member.held().map(|held| held.0), member.stats.torn), (Some(edition(0, 40)), 2));
@@ -136,14 +136,14 @@
     let mut holder = Lists::new("c", "a", false, 1, s(0.0));
     holder.from_discovery(s(0.0), 41, &[b'x'; 20_000]);
     let request = PieceRequest { edition: edition(0, 41), first: 0, mask: 0xff };
-    let mut answered = |from: f64, count: usize| {
+    let mut count_answered = |from: f64, count: usize| {
         let sent_at = |number: usize| from + number as f64 / count as f64;
         (0..count).filter(|&number| !holder.send_pieces(s(sent_at(number)), request).is_empty()).count()
     };
     // 295 members ask five elected members in their first second, in three requests each.
-    assert_eq!(answered(0.0, 59 * 3), 59 * 3);
-    assert!((200..=270).contains(&answered(2.0, 20_000)));
-    assert_eq!(answered(4.0, 10), 10, "and requests after it");
+    assert_eq!(count_answered(0.0, 59 * 3), 59 * 3);
+    assert!((200..=270).contains(&count_answered(2.0, 20_000)));
+    assert_eq!(count_answered(4.0, 10), 10, "and requests after it");
     assert!(holder.stats.unanswered > 19_000 && holder.stats.given < 500 * 8);
 }
 
@@ -169,15 +169,15 @@
 
 #[test]
 fn restarted_generation_count_of_discovery_begins_a_higher_epoch() {
-    let mut watcher = Lists::new("c", "a", false, 1, s(0.0));
-    watcher.from_discovery(s(0.0), 900, b"before");
-    watcher.from_discovery(s(1.0), 3, b"anew");
-    assert_eq!(watcher.holding().map(|held| held.0), Some(edition(1, 3)));
+    let mut elected_member = Lists::new("c", "a", false, 1, s(0.0));
+    elected_member.from_discovery(s(0.0), 900, b"before");
+    elected_member.from_discovery(s(1.0), 3, b"anew");
+    assert_eq!(elected_member.holding().map(|held| held.0), Some(edition(1, 3)));
     let mut member = Lists::new("c", "b", true, 2, s(0.0));
     member.restore(edition(0, 900), b"before", None);
     member.announced(s(1.0), at(1), holding(edition(1, 3), b"anew", Micros(0)));
     assert_eq!(
-        fetch(&mut member, s(1.0), at(1), &mut watcher),
+        fetch(&mut member, s(1.0), at(1), &mut elected_member),
         PieceResult::Complete(edition(1, 3), b"anew".to_vec())
     );
 }
