--- a/src/membership/protocol.rs
+++ b/src/membership/protocol.rs
@@ -18,9 +18,9 @@
 use super::rules::{self, Belief};
 use super::wire::{self, Body, DropReason, Key, Packet, PacketWriter};
 use super::{Entry, Identity, Settings, State};
-use crate::maintenance::parts::Part;
-use crate::startup::ramp::Among;
-use crate::startup::transfer::Wanted;
+use crate::maintenance::parts::Fragment;
+use crate::startup::ramp::StartPosition;
+use crate::startup::transfer::PieceRequest;
 use crate::startup::{Edition, Holding};
 use crate::Micros;
 use order::ProbeOrder;
@@ -47,12 +47,12 @@
     /// A live member announces which endpoint list it holds.
     ListAnnounced(SocketAddr, Holding),
     /// A live member requests pieces of the endpoint list; answer with [`Node::send_list_piece`].
-    ListRequested(SocketAddr, Wanted),
+    ListRequested(SocketAddr, PieceRequest),
     /// A requested piece of the endpoint list arrived.
     #[allow(missing_docs)]
     ListPiece { from: SocketAddr, edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
     /// A live member, identified by its name, sent a part of a maintenance message.
-    MaintenancePart(String, Part),
+    MaintenancePart(String, Fragment),
 }
 
 /// What this member knows about another one.
@@ -252,7 +252,7 @@
         &mut self,
         now: Micros,
         to: SocketAddr,
-        wanted: Wanted,
+        wanted: PieceRequest,
         out: &mut Vec<Output>,
     ) {
         self.now = now;
@@ -273,7 +273,7 @@
     }
 
     /// Sends a member a part of a maintenance message. Does nothing if the member is unknown.
-    pub fn send_maintenance_part(&mut self, now: Micros, name: &str, part: Part, out: &mut Vec<Output>) {
+    pub fn send_maintenance_part(&mut self, now: Micros, name: &str, part: Fragment, out: &mut Vec<Output>) {
         self.now = now;
         if let Some(address) = self.members.get(name).map(|member| member.id.address) {
             self.send(address, Body::MaintenancePart(part), &[], out);
@@ -282,14 +282,14 @@
 
     /// Rank of this member among the live members whose generation (the clock at their start) is `generation`
     /// or higher. Walks over all members; called when the membership has changed.
-    pub fn rank_among_started(&self, generation: u64) -> Among {
+    pub fn rank_among_started(&self, generation: u64) -> StartPosition {
         let started = |member: &&MemberRecord| member.state.live() && member.id.generation >= generation;
-        let (mut place, mut starting) = (0, 1);
+        let (mut index, mut starting) = (0, 1);
         for member in self.members.values().filter(started) {
             starting += 1;
-            place += usize::from(member.id.name < self.me.name);
+            index += usize::from(member.id.name < self.me.name);
         }
-        Among { place, starting }
+        StartPosition { index, starting }
     }
 
     /// Names of the other live members. Walks over all members; called when the membership has changed.
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -17,8 +17,8 @@
 
 use super::rules::MAX_INCARNATION;
 use super::{Entry, Identity, State};
-use crate::maintenance::parts::{Part, PART};
-use crate::startup::transfer::{Wanted, PIECE};
+use crate::maintenance::parts::{Fragment, FRAGMENT_BYTES};
+use crate::startup::transfer::{PieceRequest, PIECE_BYTES};
 use crate::startup::{Edition, Holding};
 use crate::Micros;
 use hmac::{KeyInit, Mac};
@@ -88,11 +88,11 @@
     /// Gossip entries only.
     Gossip,
     /// A request for pieces of the endpoint list that the receiver holds.
-    ListRequest(Wanted),
+    ListRequest(PieceRequest),
     /// A piece of the endpoint list.
     ListPiece { edition: Edition, index: u16, count: u16, bytes: Vec<u8> },
     /// A part of a maintenance message.
-    MaintenancePart(Part),
+    MaintenancePart(Fragment),
 }
 
 /// A decoded datagram.
@@ -267,13 +267,15 @@
             Body::Sync { reply: flags & 1 == 1, last: flags & 2 == 2 }
         }
         5 => Body::Gossip,
-        6 => {
-            Body::ListRequest(Wanted { edition: reader.edition()?, first: reader.u16()?, mask: reader.u8()? })
-        }
+        6 => Body::ListRequest(PieceRequest {
+            edition: reader.edition()?,
+            first: reader.u16()?,
+            mask: reader.u8()?,
+        }),
         7 => {
             let (edition, index, count) = (reader.edition()?, reader.u16()?, reader.u16()?);
             let length = usize::from(reader.u16()?);
-            if length > PIECE {
+            if length > PIECE_BYTES {
                 return Err(DropReason::Unreadable);
             }
             Body::ListPiece { edition, index, count, bytes: reader.take(length)?.to_vec() }
@@ -281,10 +283,10 @@
         8 => {
             let (digest, index, count) = (reader.u64()?, reader.u8()?, reader.u8()?);
             let length = usize::from(reader.u16()?);
-            if length > PART {
+            if length > FRAGMENT_BYTES {
                 return Err(DropReason::Unreadable);
             }
-            Body::MaintenancePart(Part { digest, index, count, bytes: reader.take(length)?.to_vec() })
+            Body::MaintenancePart(Fragment { digest, index, count, bytes: reader.take(length)?.to_vec() })
         }
         _ => return Err(DropReason::Unreadable),
     };
@@ -375,7 +377,7 @@
             out.push(u8::from(*reply) | (u8::from(*last) << 1));
         }
         Body::Gossip => out.push(5),
-        Body::ListRequest(Wanted { edition, first, mask }) => {
+        Body::ListRequest(PieceRequest { edition, first, mask }) => {
             out.push(6);
             put_edition(out, *edition);
             out.extend_from_slice(&first.to_be_bytes());
@@ -389,7 +391,7 @@
             }
             out.extend_from_slice(bytes);
         }
-        Body::MaintenancePart(Part { digest, index, count, bytes }) => {
+        Body::MaintenancePart(Fragment { digest, index, count, bytes }) => {
             out.push(8);
             out.extend_from_slice(&digest.to_be_bytes());
             out.extend([*index, *count]);
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -32,9 +32,10 @@
     let writer = PacketWriter::new("c", &me(), Some(Key::new(b"secret".to_vec())));
     let edition = Edition { epoch: 1, generation: u64::MAX };
     let holding = Holding { edition, digest: 9, age: Micros(u64::MAX) };
-    let piece = Body::ListPiece { edition, index: 3, count: 9, bytes: vec![5; PIECE] };
-    let part = Body::MaintenancePart(Part { digest: 7, index: 1, count: 2, bytes: vec![6; PART] });
-    for body in [Body::ListRequest(Wanted { edition, first: 8, mask: 0x81 }), piece, part] {
+    let piece = Body::ListPiece { edition, index: 3, count: 9, bytes: vec![5; PIECE_BYTES] };
+    let part =
+        Body::MaintenancePart(Fragment { digest: 7, index: 1, count: 2, bytes: vec![6; FRAGMENT_BYTES] });
+    for body in [Body::ListRequest(PieceRequest { edition, first: 8, mask: 0x81 }), piece, part] {
         let bytes = writer.write(1, Some(&holding), &body, &[]);
         assert!(bytes.len() <= MAX_DATAGRAM);
         assert_eq!(decode(&bytes, "c", Some(&Key::new(b"secret".to_vec()))).unwrap().body, body);
