--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -6,6 +6,7 @@
 pub mod read;
 pub mod desk;
 pub mod document;
+mod fingerprint;
 pub mod members;
 pub mod model;
 pub mod plan;
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -2,6 +2,7 @@
 //! settings checked. A model is a set of parts; a change of it is the list of parts that differ.
 
 use super::document::{self, Class, Document, Form, Level, Log, Repeats, Scope, Tenant};
+use super::fingerprint;
 use super::members::{self, Membership};
 use super::problem::{Problem, Problems};
 use super::secret::{hex, Secret, SecretFiles, SecretText, REDACTED};
@@ -301,12 +302,8 @@
         }
         // Settings that only the platform's file has are included as a digest, so that versions with
         // different ones have different digests.
-        let rest = Settings { classes: Vec::new(), tenants: Vec::new(), ..settings.clone() };
-        let rest = Settings { isolation: Vec::new(), ..rest };
-        let rest = Settings { slots: 0, max_messages: 0, max_attempts: 0, ..rest };
-        let (connection_idle, max_retry_after) = (Micros(0), Micros(0));
-        let rest = Settings { connection_idle, max_retry_after, ..rest };
-        out.put("platform", hex(&Sha256::digest(format!("{rest:?} {:?}", self.names)))[..16].to_owned());
+        let platform = fingerprint::platform_text(settings, &self.names);
+        out.put("platform", hex(&Sha256::digest(platform))[..16].to_owned());
         out.put("log.level", format!("{:?}", self.log.0).to_lowercase());
         out.put("log.form", format!("{:?}", self.log.1).to_lowercase());
         if let Some(listen) = self.amqp_listen {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -194,6 +194,87 @@
     assert_eq!(digest(&one.outline(b"")), digest(&other.outline(b"")));
 }
 
+/// The settings of [`base`] with other values in every field that only the platform's file has.
+fn platform(change: impl FnOnce(&mut Settings, &mut Names)) -> PlatformConfig {
+    let mut base = base();
+    change(&mut base.settings, &mut base.names);
+    base
+}
+
+/// The digest of the platform's settings is part of a version's digest, which the state folder stores. The
+/// first start of a new build compares it with the stored one and writes a version where they differ. The
+/// expected values were computed by a build whose `Settings` had the stored names, so renames in the source
+/// must not change them.
+#[test]
+fn digest_of_the_platforms_settings_equals_the_one_that_earlier_builds_stored() {
+    let rough_halving = platform(|settings, names| {
+        *settings = Settings {
+            classes: settings.classes.clone(),
+            kinds: vec![
+                KindSettings { separate_routes: true, batch: 1 },
+                KindSettings { separate_routes: false, batch: 32 },
+                KindSettings { separate_routes: true, batch: 7 },
+            ],
+            weights: Weights::Rough,
+            worth_decay: WorthDecay::Halving,
+            tenants: settings.tenants.clone(),
+            isolation: vec![tenancy::Isolation::default(); 2],
+            over_share_worth: 0.375,
+            forwarders: 11,
+            slots: 12,
+            max_messages: 130,
+            max_attempts: 14,
+            can_cancel: false,
+            must_subscribe: true,
+            max_retry_after: ms(15),
+            connection_idle: ms(16),
+            drain_grace: ms(17),
+            recovery_start_share: 1e-7,
+            recovery_time: Micros(18),
+            overload_multiple: 1e20,
+            overload_window: Micros(19),
+            key_backoff: Micros(20_021),
+        };
+        names.kinds = ["plain", "with \"quotes\" and \\", "größe"].map(str::to_owned).to_vec();
+        names.zones = ["north", "south-2"].map(str::to_owned).to_vec();
+    });
+    let absent_linear = platform(|settings, names| {
+        *settings = Settings {
+            classes: Vec::new(),
+            kinds: Vec::new(),
+            weights: Weights::Absent,
+            worth_decay: WorthDecay::Linear,
+            tenants: Vec::new(),
+            isolation: Vec::new(),
+            over_share_worth: 1.0,
+            forwarders: 1,
+            slots: 2,
+            max_messages: 3,
+            max_attempts: 4,
+            can_cancel: true,
+            must_subscribe: false,
+            max_retry_after: ms(5),
+            connection_idle: ms(6),
+            drain_grace: Micros(0),
+            recovery_start_share: 0.0,
+            recovery_time: ms(7),
+            overload_multiple: f64::INFINITY,
+            overload_window: ms(8),
+            key_backoff: Micros(u64::MAX),
+        };
+        *names = Names::default();
+    });
+    let cases = [
+        ("nominal, linear", base(), "7bd181049557e6e4"),
+        ("rough, halving", rough_halving, "99dc64e695691467"),
+        ("absent, linear", absent_linear, "b4139725cc10fca0"),
+    ];
+    for (case, base, digest) in cases {
+        let model = check(&base, "{}", &files()).unwrap().1;
+        assert_eq!(model.outline(b"")["platform"].text, digest, "{case}");
+    }
+}
+
 // ---- The plan ----
 
 #[test]
