--- a/benches/turn.rs
+++ b/benches/turn.rs
@@ -6,8 +6,8 @@
 //! tenant alone, with a call's begin and end, for so many that wait.
 
 use cedarwharf::config::model::Core;
-use cedarwharf::engine::{Engine, Input, Offer, Output, Resume};
-use cedarwharf::journal::Space;
+use cedarwharf::engine::{Engine, Input, MessageSubmission, Output, Resume};
+use cedarwharf::journal::IdScope;
 use cedarwharf::tenancy::gate::FairScheduler;
 use cedarwharf::tenancy::Isolation;
 use cedarwharf::*;
@@ -103,18 +103,18 @@
 
     fn offer(&mut self) -> Input {
         self.next += 1;
-        Input::Offer(Offer {
+        Input::Submission(MessageSubmission {
             token: self.next,
             front: 0,
-            space: Space::Tenant,
-            tell_delivered: false,
+            id_scope: IdScope::Tenant,
+            report_delivery: false,
             tenant: (self.next % self.busy) as usize,
             class: (self.next % 2) as usize,
             destination: DestinationId(self.next * 7 % DESTINATIONS),
             id: format!("m{}", self.next).into_bytes().into(),
             key: None,
             time_left: Micros(3_600_000_000),
-            again: false,
+            resubmitted: false,
             origin: Rc::from(&[][..]),
             body: Rc::from(&[0; 64][..]),
         })
@@ -122,7 +122,7 @@
 
     fn turn(&mut self, inputs: Vec<Input>) {
         self.now = self.now.plus(Micros(200));
-        for output in self.engine.turn(self.now, inputs) {
+        for output in self.engine.step(self.now, inputs) {
             if let Output::Call { call, items, .. } = output {
                 self.out.push_back((call, items.len()));
             }
@@ -149,7 +149,7 @@
 #[divan::bench(args = HELD, sample_count = 50, sample_size = 20)]
 fn slow(bencher: divan::Bencher, held: usize) {
     let mut rig = Rig::new(&format!("slow{held}"), (held as u32 / 2).min(1_024), 1);
-    while rig.engine.flows().count() < held {
+    while rig.engine.messages().count() < held {
         let offers: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
         rig.turn(offers);
     }
@@ -175,7 +175,7 @@
         let wait = wait.filter(|_| outcome != AttemptOutcome::Delivered);
         rig.turn(vec![Input::Written(call), Input::Answered { call, results, wait }]);
     }
-    while rig.engine.flows().count() < held {
+    while rig.engine.messages().count() < held {
         let mut inputs: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
         while !rig.out.is_empty() {
             inputs.extend(rig.answer(AttemptOutcome::Delivered));
@@ -188,7 +188,7 @@
 #[divan::bench(args = [1, 20, 1_000], sample_count = 50, sample_size = 20)]
 fn tenants(bencher: divan::Bencher, tenants: usize) {
     let mut rig = Rig::new(&format!("tenants{tenants}"), 500, tenants);
-    while rig.engine.flows().count() < 1_000 {
+    while rig.engine.messages().count() < 1_000 {
         let offers: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
         rig.turn(offers);
     }
--- a/src/engine/calls.rs
+++ b/src/engine/calls.rs
@@ -22,20 +22,22 @@
             spent: self.now.minus(sent_at),
             closed,
         });
-        let Some(flow) = self.flows.get_mut(&id) else { return };
-        flow.out = None;
-        if flow.end.is_some() {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.out = None;
+        if message.outcome.is_some() {
             return;
         }
-        let told = flow.class.and_then(|class| self.settings.classes.get(class));
+        let told = message.class.and_then(|class| self.settings.classes.get(class));
         let nearly = told.map_or(NEARLY, |class| NEARLY.min(Micros(class.deadline.0 / 10)));
-        let late = flow.taken.deadline <= self.now.plus(nearly);
+        let late = message.accepted.deadline <= self.now.plus(nearly);
         match outcome {
-            AttemptOutcome::Delivered => self.end(id, if late { End::Undeliverable } else { End::Delivered }),
-            _ if over => self.end(id, End::Over),
+            AttemptOutcome::Delivered => {
+                self.end_message(id, if late { FinalOutcome::Undeliverable } else { FinalOutcome::Delivered })
+            }
+            _ if over => self.end_message(id, FinalOutcome::Closed),
             _ if outcome.never_ran() => self.records.push(Record::NeverRan(id)),
             _ => {
-                flow.may_have_run.get_or_insert((sent_at, endpoint));
+                message.may_have_run.get_or_insert((sent_at, endpoint));
             }
         }
     }
@@ -53,7 +55,7 @@
         call.written = true;
         let carried: Vec<MessageId> = call.items.iter().flatten().map(|item| item.0).collect();
         for id in carried {
-            let class = self.flows.get(&id).and_then(|flow| flow.class);
+            let class = self.messages.get(&id).and_then(|message| message.class);
             self.count(class, |figures| figures.forwards += 1);
         }
     }
@@ -119,7 +121,7 @@
         // The call of this turn to each endpoint that was opened last: those before it are full.
         let mut last: BTreeMap<EndpointId, CallId> = BTreeMap::new();
         for Attempt { endpoint, id, timeout, leaves_by } in sends {
-            let Some(flow) = self.flows.get_mut(&id) else { continue };
+            let Some(message) = self.messages.get_mut(&id) else { continue };
             let room = self.kinds.get(&endpoint).and_then(|&kind| self.settings.kinds.get(kind));
             let room = room.map_or(1, |kind| kind.batch.max(1) as usize);
             let open = last.get(&endpoint).copied().filter(|call| self.calls[call].items.len() < room);
@@ -132,14 +134,14 @@
                 self.calls.insert(self.next_call, call);
                 self.next_call
             });
-            flow.out = Some(number);
-            flow.attempts += 1;
+            message.out = Some(number);
+            message.attempts += 1;
             if let Some(replay) = &mut self.replay {
-                replay.gone(DestinationId(flow.taken.destination), id);
+                replay.gone(DestinationId(message.accepted.destination), id);
             }
-            self.records.push(Record::Sent { flow: id, at: self.now, endpoint });
+            self.records.push(Record::Sent { message: id, at: self.now, endpoint });
             if let Some(call) = self.calls.get_mut(&number) {
-                call.items.push(Some((id, flow.attempts - 1, self.now.plus(timeout))));
+                call.items.push(Some((id, message.attempts - 1, self.now.plus(timeout))));
                 call.leaves_by = call.leaves_by.min(leaves_by);
             }
         }
@@ -149,8 +151,9 @@
             let Some(call) = self.calls.get_mut(number) else { continue };
             let carried = || call.items.iter().flatten();
             let longest = carried().map(|item| item.2).max().unwrap_or_default();
-            let deadlines =
-                carried().filter_map(|item| self.flows.get(&item.0)).map(|flow| flow.taken.deadline);
+            let deadlines = carried()
+                .filter_map(|item| self.messages.get(&item.0))
+                .map(|message| message.accepted.deadline);
             let until = deadlines.min().map_or(longest, |first| longest.min(first));
             self.unwritten.insert((call.leaves_by, *number));
             for (place, item) in call.items.iter_mut().enumerate() {
--- a/src/engine/figures.rs
+++ b/src/engine/figures.rs
@@ -2,7 +2,7 @@
 
 /// Counts of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct ClassCounts {
     /// Messages delivered.
     pub succeeded: u64,
     /// Messages turned down when they were handed in, or handed back later.
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -22,39 +22,40 @@
 /// See the module's text.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Handed {
+pub struct EngineHandover {
     /// Numbers and names of classes and of tenants, by place.
     classes: Vec<(u32, String)>,
     tenants: Vec<(u32, String)>,
-    next_flow: u32,
+    #[serde(rename = "next_flow")]
+    next_message: u32,
     next_call: CallId,
     calls: Vec<Out>,
     decided: DispatcherState,
 }
 
-impl Handed {
+impl EngineHandover {
     /// The calls that are out.
-    pub fn out(&self) -> impl Iterator<Item = CallId> + '_ {
+    pub fn call_ids(&self) -> impl Iterator<Item = CallId> + '_ {
         self.calls.iter().map(|out| out.call)
     }
 }
 
 impl Engine {
     /// Nothing of this turn is left over: what is handed over now is whole.
-    pub fn at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.events.is_empty() && self.outputs.is_empty() && self.records.is_empty()
     }
 
     /// What the next process needs beside the journal. An error where the journal does not hold everything, and
     /// cannot be made to.
-    pub fn hand_over(&mut self) -> Result<Handed, String> {
+    pub fn hand_over(&mut self) -> Result<EngineHandover, String> {
         if self.last_call {
             // The decisions have not heard of what was answered since: they would wait for it for good.
             return Err("this process is too near its end".to_owned());
         }
         let (unnamed, memory) = (std::mem::take(&mut self.unnamed), &self.memory);
-        let live = || snapshot(&self.directory, &self.flows, &self.calls, memory, &self.paused);
-        if let Err(problem) = self.journal.settle(&unnamed, live) {
+        let live = || snapshot(&self.directory, &self.messages, &self.calls, memory, &self.paused);
+        if let Err(problem) = self.journal.ensure_written(&unnamed, live) {
             self.unnamed = unnamed;
             return Err(format!("the journal cannot be written: {problem}"));
         }
@@ -69,10 +70,10 @@
             leaves_by: Some(out.leaves_by),
             items: out.items.clone(),
         };
-        Ok(Handed {
+        Ok(EngineHandover {
             classes: names(&self.directory.classes),
             tenants: names(&self.directory.tenants),
-            next_flow: self.next_flow,
+            next_message: self.next_message,
             next_call: self.next_call,
             calls: self.calls.iter().map(out).collect(),
             decided: self.dispatcher.snapshot(),
@@ -80,14 +81,14 @@
     }
 
     /// Goes on with what another process hands over; `places` tells where its kinds and zones stand here. Writes nothing yet:
-    /// see [`Engine::possess`].
-    pub fn follow(
+    /// see [`Engine::claim_journal`].
+    pub fn resume_handover(
         core: &Core,
         seed: u64,
         place: (&Path, u64),
         now: Micros,
         cached: Vec<EndpointRecord>,
-        (mut handed, places): (Handed, &IndexMapping),
+        (mut handed, places): (EngineHandover, &IndexMapping),
     ) -> Engine {
         // Places are the same as there: the decisions go by them.
         let mut directory = Directory::default();
@@ -95,22 +96,22 @@
         classes.for_each(|named| directory.classes.declare(named));
         let tenants = handed.tenants.drain(..).map(|(number, name)| NumberedName { number, name });
         tenants.for_each(|named| directory.tenants.declare(named));
-        let mut engine = Engine::replayed(core, seed, place, now, cached, directory);
+        let mut engine = Engine::from_journal(core, seed, place, now, cached, directory);
         handed.decided.remap_indexes(places);
         engine.adopt(handed, seed);
         engine
     }
 
-    fn adopt(&mut self, handed: Handed, seed: u64) {
-        let Handed { next_flow, next_call, calls, decided, .. } = handed;
+    fn adopt(&mut self, handed: EngineHandover, seed: u64) {
+        let EngineHandover { next_message, next_call, calls, decided, .. } = handed;
         let known: BTreeSet<MessageId> = decided.unfinished().collect();
         self.dispatcher = Dispatcher::resume(self.settings.clone(), seed, decided);
-        (self.next_flow, self.next_call) = (next_flow, next_call);
+        (self.next_message, self.next_call) = (next_message, next_call);
         let mut out = BTreeMap::new();
         for one in calls {
             for (place, item) in one.items.iter().enumerate() {
-                let Some((flow, _, until)) = item else { continue };
-                out.insert(*flow, one.call);
+                let Some((message, _, until)) = item else { continue };
+                out.insert(*message, one.call);
                 self.waits.insert((*until, one.call, place));
             }
             let leaves_by = one.leaves_by.unwrap_or(Micros(u64::MAX));
@@ -120,16 +121,17 @@
             let Out { endpoint, written, sent_at, items, .. } = one;
             self.calls.insert(one.call, Call { endpoint, written, sent_at, leaves_by, items });
         }
-        for (number, flow) in &mut self.flows {
+        for (number, message) in &mut self.messages {
             // The journal's reader takes an attempt without an outcome for one that may have run; it is still out.
-            let last_unsettled = flow.out.take().is_some();
-            flow.out = out.get(number).copied();
-            if flow.out.is_some() && last_unsettled {
-                flow.may_have_run = None;
+            let last_unsettled = message.out.take().is_some();
+            message.out = out.get(number).copied();
+            if message.out.is_some() && last_unsettled {
+                message.may_have_run = None;
             }
         }
-        for number in
-            known.iter().filter(|number| self.flows.get(number).is_none_or(|flow| flow.end.is_some()))
+        for number in known
+            .iter()
+            .filter(|number| self.messages.get(number).is_none_or(|message| message.outcome.is_some()))
         {
             self.events.push(Event::Withdrawn(*number));
         }
--- a/src/engine/io.rs
+++ b/src/engine/io.rs
@@ -1,22 +1,22 @@
 //! What goes into the core and what comes out of it, in terms that no wire is known by.
 
 use super::{CallId, Token};
-use crate::journal::{End, Space};
+use crate::journal::{FinalOutcome, IdScope};
 use crate::report::Report;
 use crate::{AttemptOutcome, DestinationId, EndpointId, EndpointRecord, ListScope, MessageId, Micros};
 use std::rc::Rc;
 
 /// A flow handed in at a front.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct MessageSubmission {
     /// Comes back with the reply.
     pub token: Token,
     /// The front.
     pub front: u8,
     /// Within what its id is its own.
-    pub space: Space,
+    pub id_scope: IdScope,
     /// Whether a delivery shall be told too.
-    pub tell_delivered: bool,
+    pub report_delivery: bool,
     /// Tenant, by place: see [`crate::directory::Directory`].
     pub tenant: usize,
     /// Class, by place.
@@ -30,7 +30,7 @@
     /// How long it may still be delivered.
     pub time_left: Micros,
     /// It was handed in before.
-    pub again: bool,
+    pub resubmitted: bool,
     /// What the front needs to tell the end.
     pub origin: Rc<[u8]>,
     /// What is delivered.
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A flow is handed in.
-    Offer(Offer),
+    Submission(MessageSubmission),
     /// News of the list of service entries.
-    Entries(ListScope, Vec<EndpointRecord>),
+    EndpointRecords(ListScope, Vec<EndpointRecord>),
     /// The last byte of a call has been written.
     Written(CallId),
     /// A call, or some of it, has been answered: places in the order, with their outcomes, and whether the flow
@@ -62,17 +62,17 @@
     /// the answer and of its call.
     RetryAfter(EndpointId, Micros),
     /// The connection of a call broke, or never came up.
-    Broken(CallId),
+    ConnectionFailed(CallId),
     /// The answer to a call cannot be read, or does not end.
-    Spoilt(CallId),
+    MalformedAnswer(CallId),
     /// The front has told an end.
-    Told(MessageId),
+    OutcomeReported(MessageId),
     /// Nothing goes to a destination for so long, though it told no wait itself: many start (see `startup::ramp`).
     HoldBack(EndpointId, Micros),
     /// A tenant is turned down from now on, or no longer.
     Pause(usize, bool),
     /// No call may begin any more: the process is near its end.
-    LastCall,
+    StopCalls,
 }
 
 /// One flow in an ordered call.
@@ -92,13 +92,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Taken on, and in the journal.
-    TakenOn,
+    Accepted,
     /// Turned down; handing it in again after so long is harmless.
-    TurnDown(Micros),
+    Rejected(Micros),
     /// It is a repeat of a flow that has ended.
-    Known(End),
+    AlreadyEnded(FinalOutcome),
     /// Its id is that of another flow.
-    Taken,
+    IdConflict,
     /// Its class, tenant or destination is unknown.
     Unknown,
 }
@@ -123,10 +123,10 @@
     },
     /// Give up a call: end its connection at once.
     Abort(CallId),
-    /// Tell a front the end of a flow; [`Input::Told`] ends the debt.
-    Tell {
+    /// Tell a front the end of a flow; [`Input::OutcomeReported`] ends the debt.
+    ReportOutcome {
         /// The flow.
-        flow: MessageId,
+        message: MessageId,
         /// The front.
         front: u8,
         /// Its tenant, by index.
@@ -136,7 +136,7 @@
         /// What the front asked to have back.
         origin: Rc<[u8]>,
         /// How it ended.
-        end: End,
+        outcome: FinalOutcome,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
@@ -148,9 +148,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Offers taken on.
-    pub taken_on: u64,
+    pub accepted: u64,
     /// Offers turned down.
-    pub turned_down: u64,
+    pub rejected: u64,
     /// Flows delivered.
     pub delivered: u64,
     /// Flows ended as undeliverable.
@@ -163,7 +163,7 @@
 
 /// A flow as the administration sees it.
 #[derive(Clone, Debug)]
-pub struct FlowView {
+pub struct MessageView {
     /// Tenant, by index.
     pub tenant: usize,
     /// Its id at the client.
@@ -177,7 +177,7 @@
     /// An attempt is out.
     pub out: bool,
     /// How it ended, where its front is still to be told.
-    pub end: Option<End>,
+    pub outcome: Option<FinalOutcome>,
     /// Time left.
     pub time_left: Micros,
 }
--- a/src/engine/memory.rs
+++ b/src/engine/memory.rs
@@ -1,6 +1,6 @@
 //! Flows that ended lately: a repeat of an id is answered, not redone.
 
-use crate::journal::End;
+use crate::journal::FinalOutcome;
 use crate::Micros;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 /// What a name takes in the journal besides its own bytes, about.
 const OVERHEAD: u64 = 56;
 
-/// The space in which an id names one flow (see [`space`](crate::engine::space)), and the id.
+/// The space in which an id names one flow (see [`space`](crate::engine::id_scope_number)), and the id.
 pub type Name = (u32, Rc<[u8]>);
 
 /// Whose ends they are: a tenant's number, or [`NOBODY`].
@@ -29,7 +29,7 @@
 ///
 /// Cost: O(log tenants) an end.
 pub struct Memory {
-    ends: HashMap<Name, (End, Micros)>,
+    ends: HashMap<Name, (FinalOutcome, Micros)>,
     of: HashMap<Owner, Owned>,
     /// When the oldest end of each was.
     oldest: BTreeSet<(Micros, Owner)>,
@@ -47,7 +47,7 @@
     }
 
     /// Another bound counts from now on.
-    pub fn rebound(&mut self, bound: u64) {
+    pub fn set_limit(&mut self, bound: u64) {
         self.bound = bound;
         self.trim(Micros(0));
     }
@@ -58,8 +58,8 @@
     }
 
     /// Remembers an end.
-    pub fn add(&mut self, owner: Owner, name: Name, end: End, at: Micros) {
-        self.ends.insert(name.clone(), (end, at));
+    pub fn add(&mut self, owner: Owner, name: Name, outcome: FinalOutcome, at: Micros) {
+        self.ends.insert(name.clone(), (outcome, at));
         self.change(owner, |owned| {
             owned.bytes += size(&name);
             owned.order.push_back((name, at));
@@ -107,15 +107,15 @@
     }
 
     /// How a flow of this name ended. A deferred one is forgotten once it was to come again.
-    pub fn recall(&self, name: &Name, now: Micros) -> Option<End> {
+    pub fn recall(&self, name: &Name, now: Micros) -> Option<FinalOutcome> {
         match self.ends.get(name) {
-            Some(&(End::Deferred(again), at)) if at.plus(again) <= now => None,
-            known => known.map(|&(end, _)| end),
+            Some(&(FinalOutcome::Deferred(again), at)) if at.plus(again) <= now => None,
+            known => known.map(|&(outcome, _)| outcome),
         }
     }
 
     /// All of it with its owners, the oldest of each first.
-    pub fn iter(&self) -> impl Iterator<Item = (Owner, &Name, End, Micros)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Owner, &Name, FinalOutcome, Micros)> {
         let all = self.of.iter().flat_map(|(&owner, owned)| owned.order.iter().map(move |one| (owner, one)));
         let current = all.filter_map(|(owner, (name, at))| Some((owner, name, *at, self.ends.get(name)?)));
         current
--- a/src/engine/memory/tests.rs
+++ b/src/engine/memory/tests.rs
@@ -9,13 +9,14 @@
 fn one_that_ends_much_puts_nothing_of_another_out_of_memory() {
     let mut memory = Memory::new(10_000);
     let now = Micros(1_000_000);
-    (0..20).for_each(|id| memory.add(1, name(1, id), End::Delivered, now));
-    (0..5_000).for_each(|id| memory.add(2, name(2, id), End::Delivered, now.plus(Micros(id as u64))));
+    (0..20).for_each(|id| memory.add(1, name(1, id), FinalOutcome::Delivered, now));
+    (0..5_000)
+        .for_each(|id| memory.add(2, name(2, id), FinalOutcome::Delivered, now.plus(Micros(id as u64))));
     assert!((0..20).all(|id| memory.recall(&name(1, id), now).is_some()));
     assert!(memory.recall(&name(2, 4_999), now).is_some() && memory.recall(&name(2, 0), now).is_none());
     assert!(memory.bytes() <= 10_000);
     // What is too old goes, whoever's it is.
-    memory.add(2, name(2, 5_000), End::Delivered, now.plus(KEEP));
+    memory.add(2, name(2, 5_000), FinalOutcome::Delivered, now.plus(KEEP));
     assert!((0..20).all(|id| memory.recall(&name(1, id), now).is_none()));
 }
 
@@ -27,7 +28,7 @@
         let mut now = Micros(0);
         for (owner, id, later) in adds {
             now = now.plus(Micros(later));
-            memory.add(owner, name(owner, id), End::Delivered, now);
+            memory.add(owner, name(owner, id), FinalOutcome::Delivered, now);
             let sum: u64 = memory.of.values().map(|owned| owned.bytes).sum();
             let each: u64 = memory.of.values().flat_map(|owned| &owned.order).map(|(name, _)| size(name)).sum();
             prop_assert_eq!((memory.bytes, memory.bytes), (sum, each));
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -13,7 +13,9 @@
 
 use crate::config::model::Core;
 use crate::directory::{Directory, NumberedName};
-use crate::journal::{effect_code, room, End, Found, Journal, Record, Space, Taken};
+use crate::journal::{
+    effect_code, stored_size, AcceptedMessage, FinalOutcome, IdScope, Journal, Record, RecoveredJournal,
+};
 use crate::startup::replay::Replay;
 use crate::tenancy::intake::{AdmissionControl, AdmissionError};
 use crate::tenancy::share::{Bounds, ShareError};
@@ -22,10 +24,10 @@
     ListScope, Submission,
 };
 use crate::{AttemptHistory, AttemptOutcome, MessageId, Micros, Settings};
-use figures::Figures;
-pub use io::{Counts, FlowView, Input, Item, Offer, Output, Reply};
+use figures::ClassCounts;
+pub use io::{Counts, Input, Item, MessageSubmission, MessageView, Output, Reply};
 use memory::{Memory, Name};
-use records::{kept_names, named_record, owed, snapshot};
+use records::{kept_names, named_record, needs_report, snapshot};
 pub use restart::Resume;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::Path;
@@ -46,21 +48,21 @@
 pub type CallId = u64;
 
 /// The space of an id as a number: its tenant's own, or one above all tenants' for each front.
-pub fn space(space: Space, tenant: u32, front: u8) -> u32 {
-    match space {
-        Space::Tenant => tenant,
-        Space::Front => FRONT_SPACES | u32::from(front),
+pub fn id_scope_number(id_scope: IdScope, tenant: u32, front: u8) -> u32 {
+    match id_scope {
+        IdScope::Tenant => tenant,
+        IdScope::Front => FRONT_SCOPES | u32::from(front),
     }
 }
 
 /// Spaces of fronts lie above all numbers of tenants.
-const FRONT_SPACES: u32 = 1 << 31;
+const FRONT_SCOPES: u32 = 1 << 31;
 /// Where the first format of the journal had them.
-const FIRST_FRONT_SPACES: u32 = 1 << 16;
+const FIRST_FRONT_SCOPES: u32 = 1 << 16;
 
 /// A flow that is open, or whose end is still to be told.
-struct Flow {
-    taken: Taken,
+struct HeldMessage {
+    accepted: AcceptedMessage,
     /// Places of its class and tenant, where they have any.
     class: Option<usize>,
     tenant: usize,
@@ -68,7 +70,7 @@
     may_have_run: Option<(Micros, EndpointId)>,
     /// The call it is out in, and its place there.
     out: Option<CallId>,
-    end: Option<(End, Micros)>,
+    outcome: Option<(FinalOutcome, Micros)>,
 }
 
 /// One message that the module sends.
@@ -102,11 +104,11 @@
     unnamed: Vec<Record>,
     /// Flows without an end.
     open: usize,
-    flows: BTreeMap<MessageId, Flow>,
+    messages: BTreeMap<MessageId, HeldMessage>,
     /// Ids of the flows above.
     known: HashMap<Name, MessageId>,
     memory: Memory,
-    next_flow: u32,
+    next_message: u32,
     calls: BTreeMap<CallId, Call>,
     /// Those whose last byte is still to be written, by when that must be: their connections are coming up.
     unwritten: BTreeSet<(Micros, CallId)>,
@@ -130,15 +132,15 @@
     paused: BTreeSet<u32>,
     counts: Vec<Counts>,
     /// By class, by place.
-    figures: Vec<Figures>,
+    class_counts: Vec<ClassCounts>,
     /// All of them together.
-    sums: Counts,
+    totals: Counts,
     now: Micros,
 }
 
 impl Engine {
     /// Reads the journal in `folder`, and writes nothing. Names of `directory` stay at their places.
-    fn replayed(
+    fn from_journal(
         core: &Core,
         seed: u64,
         (folder, disk): (&Path, u64),
@@ -146,8 +148,8 @@
         cached: Vec<EndpointRecord>,
         mut directory: Directory,
     ) -> Engine {
-        let Found { journal, records, by_place } = Journal::open(folder, disk);
-        if by_place {
+        let RecoveredJournal { journal, records, by_index } = Journal::open(folder, disk);
+        if by_index {
             // The first format knows no names: its numbers are places in the lists as they are now.
             directory.configure(core, None);
         }
@@ -166,7 +168,7 @@
         let places = directory.tenants.len();
         let mut engine = Engine {
             dispatcher: Dispatcher::new(settings.clone(), seed),
-            memory: Memory::new(journal.live_bound() / 4),
+            memory: Memory::new(journal.max_live_size() / 4),
             settings,
             directory: Rc::new(directory),
             held_bytes: core.held_bytes.unwrap_or(u64::MAX),
@@ -174,9 +176,9 @@
             journal,
             unnamed: Vec::new(),
             open: 0,
-            flows: BTreeMap::new(),
+            messages: BTreeMap::new(),
             known: HashMap::new(),
-            next_flow: 0,
+            next_message: 0,
             calls: BTreeMap::new(),
             unwritten: BTreeSet::new(),
             next_call: 0,
@@ -193,14 +195,14 @@
             last_call: false,
             paused: BTreeSet::new(),
             counts: vec![Counts::default(); places],
-            figures: Vec::new(),
-            sums: Counts::default(),
+            class_counts: Vec::new(),
+            totals: Counts::default(),
             now,
         };
         engine.part();
         engine.learn(ListScope::Cached, cached);
         for record in records {
-            engine.replay(record, by_place);
+            engine.replay(record, by_index);
         }
         engine
     }
@@ -221,26 +223,26 @@
     }
 
     /// So many senders share the real servers, as observed (see `docs/membership.md`); none, as the settings say.
-    pub fn shared_by(&mut self, senders: Option<f64>) {
+    pub fn set_forwarder_count(&mut self, senders: Option<f64>) {
         self.dispatcher.set_forwarder_count(senders);
     }
 
     /// While this one starts among others, what it begins with at each destination.
-    pub fn begins_with(&mut self, first: Option<InitialSendRate>) {
+    pub fn set_initial_rate(&mut self, first: Option<InitialSendRate>) {
         self.dispatcher.set_initial_rate(first);
     }
 
     /// Parts what can be held among the tenants. Cost: the tenants.
     fn part(&mut self) {
         // Beside what is remembered of ended flows. Not less what names take: a tenant would see others come and go by it.
-        let live = self.journal.live_bound();
+        let live = self.journal.max_live_size();
         let bytes = self.held_bytes.min(live - live / 4);
         let held = u64::from(self.settings.max_messages);
         self.intake.configure((held, bytes), &self.settings.isolation);
     }
 
     /// Whether these settings are those in force, for assertions. Cost: the size of the lists.
-    pub fn runs(&self, core: &Core) -> bool {
+    pub fn has_settings(&self, core: &Core) -> bool {
         let names = self.directory.clone();
         let class = |(name, told): (&String, &crate::ClassSettings)| {
             names
@@ -272,27 +274,28 @@
     }
 
     /// Whether everything live fits into a folder of another size; then the file does, too, from now on.
-    pub fn fits(&mut self, disk: u64) -> Result<(), String> {
-        let old = self.journal.disk();
-        self.journal.rebound(disk);
-        let live = self.live() - self.memory.bytes() + self.memory.bytes().min(self.journal.live_bound() / 4);
-        let fits = live <= self.journal.live_bound();
+    pub fn check_disk_limit(&mut self, disk: u64) -> Result<(), String> {
+        let old = self.journal.disk_limit();
+        self.journal.set_disk_limit(disk);
+        let live =
+            self.live() - self.memory.bytes() + self.memory.bytes().min(self.journal.max_live_size() / 4);
+        let fits = live <= self.journal.max_live_size();
         let result = if !fits {
-            Err(format!("{live} bytes are live, and {} would be allowed", self.journal.live_bound()))
-        } else if self.journal.size() > self.journal.file_bound() {
-            let live = snapshot(&self.directory, &self.flows, &self.calls, &self.memory, &self.paused);
+            Err(format!("{live} bytes are live, and {} would be allowed", self.journal.max_live_size()))
+        } else if self.journal.size() > self.journal.max_file_size() {
+            let live = snapshot(&self.directory, &self.messages, &self.calls, &self.memory, &self.paused);
             self.journal.compact(&live).map_err(|problem| format!("the journal cannot be written: {problem}"))
         } else {
             Ok(())
         };
-        self.journal.rebound(old);
+        self.journal.set_disk_limit(old);
         result
     }
 
     /// Another size of the folder counts from now on.
-    pub fn rebound(&mut self, disk: u64) {
-        self.journal.rebound(disk);
-        self.memory.rebound(self.journal.live_bound() / 4);
+    pub fn set_disk_limit(&mut self, disk: u64) {
+        self.journal.set_disk_limit(disk);
+        self.memory.set_limit(self.journal.max_live_size() / 4);
         self.part();
     }
 
@@ -308,19 +311,19 @@
     }
 
     /// What all tenants have had together. Cost: none; counted as it happens.
-    pub fn sums(&self) -> Counts {
-        self.sums
+    pub fn totals(&self) -> Counts {
+        self.totals
     }
 
     /// Ends that a front is still owed are told again: it was off, and is on now. Cost: the flows held.
-    pub fn tell_again(&mut self, front: u8) {
-        let owed = self.flows.values().filter(|flow| flow.taken.front == front);
-        let told = owed.filter_map(|flow| Some(tell(flow, flow.end?.0)));
+    pub fn repeat_reports(&mut self, front: u8) {
+        let owed = self.messages.values().filter(|message| message.accepted.front == front);
+        let told = owed.filter_map(|message| Some(tell(message, message.outcome?.0)));
         self.outputs.extend(told);
     }
 
     /// Takes all that came in, asks the module once, writes the journal once, and says what to do.
-    pub fn turn(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
+    pub fn step(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         self.now = self.now.max(now);
         let inputs: Vec<Input> = inputs.into_iter().collect();
         // Before all else: what has left may have run, whatever else this turn brings.
@@ -352,7 +355,7 @@
     }
 
     /// When the next turn is due though nothing comes in.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         let waits = self.waits.first().map(|&(until, ..)| until);
         let leaves = self.unwritten.first().map(|&(by, _)| by);
         let soon = (!self.events.is_empty()).then_some(self.now);
@@ -361,21 +364,21 @@
     }
 
     /// What a tenant has had, and whether it is paused.
-    pub fn tenant(&self, place: usize) -> (Counts, bool) {
+    pub fn tenant_status(&self, place: usize) -> (Counts, bool) {
         let paused = self.paused.contains(&self.directory.tenants.number(place));
         (self.counts.get(place).copied().unwrap_or_default(), paused)
     }
 
     /// What a tenant has of what is shared, and may have: call slots, messages held, their bytes. Cost: O(1).
-    pub fn shares(&self, place: usize) -> [(&'static str, u64, Bounds); 3] {
+    pub fn tenant_shares(&self, place: usize) -> [(&'static str, u64, Bounds); 3] {
         let (held, bytes) = self.intake.shares();
         [("slots", self.dispatcher.slots()), ("held_messages", held), ("held_bytes", bytes)]
             .map(|(name, shares)| (name, shares.used(place), shares.bounds(place)))
     }
 
     /// What became of the messages of a class, by its place.
-    pub fn figures(&self, class: usize) -> Figures {
-        self.figures.get(class).copied().unwrap_or_default()
+    pub fn class_counts(&self, class: usize) -> ClassCounts {
+        self.class_counts.get(class).copied().unwrap_or_default()
     }
 
     /// Messages taken and not ended.
@@ -384,28 +387,28 @@
     }
 
     /// Listed endpoints that are avoided. Cost: the endpoints listed.
-    pub fn avoided(&self) -> usize {
+    pub fn open_circuits(&self) -> usize {
         self.dispatcher.open_circuits()
     }
 
     /// Flows that are open, or whose end is still to be told.
-    pub fn flows(&self) -> impl Iterator<Item = FlowView> + '_ {
-        self.flows.values().map(|flow| FlowView {
-            tenant: flow.tenant,
-            id: flow.taken.id.clone(),
-            class: flow.class.unwrap_or(usize::MAX),
-            destination: flow.taken.destination,
-            attempts: flow.attempts,
-            out: flow.out.is_some(),
-            end: flow.end.map(|(end, _)| end),
-            time_left: flow.taken.deadline.minus(self.now),
+    pub fn messages(&self) -> impl Iterator<Item = MessageView> + '_ {
+        self.messages.values().map(|message| MessageView {
+            tenant: message.tenant,
+            id: message.accepted.id.clone(),
+            class: message.class.unwrap_or(usize::MAX),
+            destination: message.accepted.destination,
+            attempts: message.attempts,
+            out: message.out.is_some(),
+            outcome: message.outcome.map(|(outcome, _)| outcome),
+            time_left: message.accepted.deadline.minus(self.now),
         })
     }
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Offer(offer) => self.offered(offer),
-            Input::Entries(scope, members) => self.learn(scope, members),
+            Input::Submission(offer) => self.offered(offer),
+            Input::EndpointRecords(scope, members) => self.learn(scope, members),
             Input::Written(_) => {}
             Input::Answered { call, results, wait } => {
                 let endpoint = self.calls.get(&call).map(|call| call.endpoint);
@@ -419,13 +422,13 @@
             }
             Input::Report(endpoint, report) => self.events.push(Event::Report(endpoint, report)),
             Input::RetryAfter(endpoint, wait) => self.retry_after(endpoint, wait),
-            Input::Broken(call) => self.break_off(call, AttemptOutcome::Reset),
-            Input::Spoilt(call) => self.break_off(call, AttemptOutcome::MalformedAnswer),
+            Input::ConnectionFailed(call) => self.break_off(call, AttemptOutcome::Reset),
+            Input::MalformedAnswer(call) => self.break_off(call, AttemptOutcome::MalformedAnswer),
             Input::HoldBack(endpoint, wait) => self.events.push(Event::RetryAfter(endpoint, wait)),
-            Input::Told(flow) => {
-                if self.flows.get(&flow).is_some_and(|flow| flow.end.is_some()) {
-                    self.records.push(Record::Told(flow));
-                    self.drop_flow(flow);
+            Input::OutcomeReported(message) => {
+                if self.messages.get(&message).is_some_and(|message| message.outcome.is_some()) {
+                    self.records.push(Record::Reported(message));
+                    self.drop_message(message);
                 }
             }
             Input::Pause(tenant, paused) => {
@@ -433,7 +436,7 @@
                 self.replay(Record::Paused { tenant, paused }, false);
                 self.records.push(Record::Paused { tenant, paused });
             }
-            Input::LastCall => self.last_call = true,
+            Input::StopCalls => self.last_call = true,
         }
     }
 
@@ -466,53 +469,53 @@
     }
 
     /// Counts for a class; what has none stands under none.
-    fn count(&mut self, class: Option<usize>, deed: impl FnOnce(&mut Figures)) {
+    fn count(&mut self, class: Option<usize>, deed: impl FnOnce(&mut ClassCounts)) {
         let Some(class) = class else { return };
-        if self.figures.len() <= class {
-            self.figures.resize(class + 1, Figures::default());
+        if self.class_counts.len() <= class {
+            self.class_counts.resize(class + 1, ClassCounts::default());
         }
-        deed(&mut self.figures[class]);
+        deed(&mut self.class_counts[class]);
     }
 
     /// The end of a flow: into the journal, and to its front in this turn.
-    fn end(&mut self, number: MessageId, end: End) {
-        let Some(flow) = self.flows.get_mut(&number) else { return };
-        if flow.end.is_none() {
+    fn end_message(&mut self, number: MessageId, outcome: FinalOutcome) {
+        let Some(message) = self.messages.get_mut(&number) else { return };
+        if message.outcome.is_none() {
             self.open -= 1;
-            self.counts[flow.tenant].open -= 1;
-            self.intake.remove_message(flow.tenant);
+            self.counts[message.tenant].open -= 1;
+            self.intake.remove_message(message.tenant);
         }
-        flow.end = Some((end, self.now));
+        message.outcome = Some((outcome, self.now));
         if let Some(replay) = &mut self.replay {
-            replay.gone(DestinationId(flow.taken.destination), number);
+            replay.gone(DestinationId(message.accepted.destination), number);
         }
-        for counts in [&mut self.counts[flow.tenant], &mut self.sums] {
-            match end {
-                End::Delivered => counts.delivered += 1,
-                End::Undeliverable => counts.undeliverable += 1,
-                End::Deferred(_) => counts.deferred += 1,
-                End::Over => {}
+        for counts in [&mut self.counts[message.tenant], &mut self.totals] {
+            match outcome {
+                FinalOutcome::Delivered => counts.delivered += 1,
+                FinalOutcome::Undeliverable => counts.undeliverable += 1,
+                FinalOutcome::Deferred(_) => counts.deferred += 1,
+                FinalOutcome::Closed => {}
             }
         }
-        let class = flow.class;
-        self.count(class, |figures| match end {
-            End::Delivered => figures.succeeded += 1,
-            End::Deferred(_) => figures.declined += 1,
-            End::Undeliverable => figures.aborted += 1,
-            End::Over => {}
+        let class = message.class;
+        self.count(class, |figures| match outcome {
+            FinalOutcome::Delivered => figures.succeeded += 1,
+            FinalOutcome::Deferred(_) => figures.declined += 1,
+            FinalOutcome::Undeliverable => figures.aborted += 1,
+            FinalOutcome::Closed => {}
         });
-        self.records.push(Record::Ended { flow: number, at: self.now, end });
-        let Some(flow) = self.flows.get_mut(&number) else { return };
+        self.records.push(Record::Ended { message: number, at: self.now, outcome });
+        let Some(message) = self.messages.get_mut(&number) else { return };
         // An end that waits long to be told keeps no room for its body.
-        let before = room(&flow.taken);
-        flow.taken.body = Rc::from(&[][..]);
-        let rest = before - room(&flow.taken);
+        let before = stored_size(&message.accepted);
+        message.accepted.body = Rc::from(&[][..]);
+        let rest = before - stored_size(&message.accepted);
         self.live -= rest;
-        self.intake.release_bytes(flow.tenant, rest);
-        if owed(&flow.taken, end) {
-            self.outputs.push(tell(flow, end));
+        self.intake.release_bytes(message.tenant, rest);
+        if needs_report(&message.accepted, outcome) {
+            self.outputs.push(tell(message, outcome));
         } else {
-            self.drop_flow(number);
+            self.drop_message(number);
         }
     }
 
@@ -522,14 +525,14 @@
                 sends.push(Attempt { endpoint, id, timeout, leaves_by });
             }
             Action::Cancel { id, attempt } => {
-                let call = self.flows.get(&id).filter(|flow| flow.attempts == attempt + 1);
-                if let Some(call) = call.and_then(|flow| flow.out) {
+                let call = self.messages.get(&id).filter(|message| message.attempts == attempt + 1);
+                if let Some(call) = call.and_then(|message| message.out) {
                     self.outputs.push(Output::Abort(call));
                     self.break_off(call, AttemptOutcome::Cancelled);
                 }
             }
-            Action::Reject { id, retry_after } => self.give_up(id, End::Deferred(retry_after)),
-            Action::Fail(id) => self.give_up(id, End::Undeliverable),
+            Action::Reject { id, retry_after } => self.give_up(id, FinalOutcome::Deferred(retry_after)),
+            Action::Fail(id) => self.give_up(id, FinalOutcome::Undeliverable),
             Action::WakeIn(delay) => {
                 let at = self.now.plus(delay);
                 self.wake_at = Some(self.wake_at.map_or(at, |known| known.min(at)));
@@ -543,13 +546,14 @@
     /// Writes this turn's records before anything that they vouch for leaves. What cannot be written is not done.
     fn commit(&mut self, calls: Vec<CallId>) {
         let fresh = std::mem::take(&mut self.fresh);
-        let taken = fresh.keys().filter_map(|id| Some(Record::Taken(self.flows.get(id)?.taken.clone())));
-        let mut records: Vec<Record> = self.unnamed.iter().cloned().chain(taken).collect();
+        let accepted =
+            fresh.keys().filter_map(|id| Some(Record::Accepted(self.messages.get(id)?.accepted.clone())));
+        let mut records: Vec<Record> = self.unnamed.iter().cloned().chain(accepted).collect();
         records.append(&mut self.records);
         if !records.is_empty() {
-            let (directory, flows, calls_out) = (&self.directory, &self.flows, &self.calls);
+            let (directory, messages, calls_out) = (&self.directory, &self.messages, &self.calls);
             let (memory, paused) = (&self.memory, &self.paused);
-            let live = || snapshot(directory, flows, calls_out, memory, paused);
+            let live = || snapshot(directory, messages, calls_out, memory, paused);
             let written = self.journal.commit(&records, live);
             if let Err(problem) = written {
                 self.outputs.push(Output::Log(format!("journal not written: {problem}")));
@@ -560,21 +564,21 @@
         let mut replies = Vec::new();
         for (id, token) in fresh {
             // It may have ended within this turn; it was taken on all the same.
-            let Some(flow) = self.flows.get(&id) else { continue };
-            self.counts[flow.tenant].taken_on += 1;
-            self.sums.taken_on += 1;
-            replies.push(Output::Reply(token, flow.taken.front, Reply::TakenOn));
+            let Some(message) = self.messages.get(&id) else { continue };
+            self.counts[message.tenant].accepted += 1;
+            self.totals.accepted += 1;
+            replies.push(Output::Reply(token, message.accepted.front, Reply::Accepted));
         }
         self.outputs.splice(0..0, replies);
         for number in calls {
             let Some(call) = self.calls.get(&number) else { continue };
             let items = call.items.iter().flatten();
             let until = items.clone().map(|item| item.2).max().unwrap_or_default();
-            let items = items.filter_map(|(id, ..)| self.flows.get(id)).map(|flow| Item {
-                id: flow.taken.id.clone(),
-                key: flow.taken.key.clone(),
-                class: flow.class.unwrap_or(usize::MAX),
-                body: flow.taken.body.clone(),
+            let items = items.filter_map(|(id, ..)| self.messages.get(id)).map(|message| Item {
+                id: message.accepted.id.clone(),
+                key: message.accepted.key.clone(),
+                class: message.class.unwrap_or(usize::MAX),
+                body: message.accepted.body.clone(),
             });
             let &Call { endpoint, leaves_by, .. } = call;
             let (items, wait) = (items.collect(), until.minus(self.now));
@@ -583,12 +587,12 @@
     }
 }
 
-fn name(taken: &Taken) -> Name {
-    (space(taken.space, taken.tenant, taken.front), taken.id.clone())
+fn name(accepted: &AcceptedMessage) -> Name {
+    (id_scope_number(accepted.id_scope, accepted.tenant, accepted.front), accepted.id.clone())
 }
 
-fn tell(flow: &Flow, end: End) -> Output {
-    let Taken { flow: number, front, id, origin, .. } = &flow.taken;
+fn tell(message: &HeldMessage, outcome: FinalOutcome) -> Output {
+    let AcceptedMessage { message: number, front, id, origin, .. } = &message.accepted;
     let (id, origin) = (id.clone(), origin.clone());
-    Output::Tell { flow: *number, front: *front, tenant: flow.tenant, id, origin, end }
+    Output::ReportOutcome { message: *number, front: *front, tenant: message.tenant, id, origin, outcome }
 }
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -15,7 +15,7 @@
     }
     for record in records {
         match record {
-            Record::Taken(taken) => kept.extend([(false, taken.class), (true, taken.tenant)]),
+            Record::Accepted(accepted) => kept.extend([(false, accepted.class), (true, accepted.tenant)]),
             Record::Paused { tenant, .. } => {
                 kept.insert((true, *tenant));
             }
@@ -38,18 +38,18 @@
 }
 
 /// Whether the front wants to hear of an end.
-pub(super) fn owed(taken: &Taken, end: End) -> bool {
-    match end {
-        End::Over => false,
-        End::Delivered => taken.tell_delivered,
-        End::Undeliverable | End::Deferred(_) => true,
+pub(super) fn needs_report(accepted: &AcceptedMessage, outcome: FinalOutcome) -> bool {
+    match outcome {
+        FinalOutcome::Closed => false,
+        FinalOutcome::Delivered => accepted.report_delivery,
+        FinalOutcome::Undeliverable | FinalOutcome::Deferred(_) => true,
     }
 }
 
 /// All that must outlast a compaction. Retired names stay: their numbers are not to be given again.
 pub(super) fn snapshot(
     directory: &Directory,
-    flows: &BTreeMap<MessageId, Flow>,
+    messages: &BTreeMap<MessageId, HeldMessage>,
     calls: &BTreeMap<CallId, Call>,
     memory: &Memory,
     paused: &BTreeSet<u32>,
@@ -58,26 +58,30 @@
         directory.classes.iter().map(|(named, _)| named_record(false, named)).collect();
     records.extend(directory.tenants.iter().map(|(named, _)| named_record(true, named)));
     let remembered = memory.iter();
-    records.extend(remembered.map(|(owner, (space, id), end, at)| Record::Remembered {
+    records.extend(remembered.map(|(owner, (id_scope, id), outcome, at)| Record::Remembered {
         owner: (owner != memory::NOBODY).then_some(owner),
-        space: *space,
+        id_scope: *id_scope,
         id: id.clone(),
         at,
-        end,
+        outcome,
     }));
     records.extend(paused.iter().map(|&tenant| Record::Paused { tenant, paused: true }));
-    for (&number, flow) in flows {
-        let out = flow.out.and_then(|call| calls.get(&call));
-        let attempts = flow.attempts - u32::from(out.is_some());
-        records.push(Record::Taken(flow.taken.clone()));
-        if flow.attempts > 0 {
-            records.push(Record::Past { flow: number, attempts, may_have_run: flow.may_have_run });
+    for (&number, message) in messages {
+        let out = message.out.and_then(|call| calls.get(&call));
+        let attempts = message.attempts - u32::from(out.is_some());
+        records.push(Record::Accepted(message.accepted.clone()));
+        if message.attempts > 0 {
+            records.push(Record::AttemptSummary {
+                message: number,
+                attempts,
+                may_have_run: message.may_have_run,
+            });
         }
         if let Some(call) = out {
-            records.push(Record::Sent { flow: number, at: call.sent_at, endpoint: call.endpoint });
+            records.push(Record::Sent { message: number, at: call.sent_at, endpoint: call.endpoint });
         }
-        if let Some((end, at)) = flow.end {
-            records.push(Record::Ended { flow: number, at, end });
+        if let Some((outcome, at)) = message.outcome {
+            records.push(Record::Ended { message: number, at, outcome });
         }
     }
     records
--- a/src/engine/restart.rs
+++ b/src/engine/restart.rs
@@ -21,79 +21,82 @@
         cached: Vec<EndpointRecord>,
         resume: Resume,
     ) -> Engine {
-        let mut engine = Engine::replayed(core, seed, place, now, cached, Directory::default());
-        engine.flows.values_mut().for_each(|flow| flow.out = None);
+        let mut engine = Engine::from_journal(core, seed, place, now, cached, Directory::default());
+        engine.messages.values_mut().for_each(|message| message.out = None);
         engine.end_strange();
         // What may have run is decided on at once, what never ran may wait.
-        let waits =
-            |flow: &Flow| resume == Resume::Paced && flow.end.is_none() && flow.may_have_run.is_none();
+        let waits = |message: &HeldMessage| {
+            resume == Resume::Paced && message.outcome.is_none() && message.may_have_run.is_none()
+        };
         let held: Vec<_> = engine
-            .flows
+            .messages
             .iter()
-            .filter(|(_, flow)| waits(flow))
-            .map(|(&id, flow)| (DestinationId(flow.taken.destination), flow.taken.deadline, id))
+            .filter(|(_, message)| waits(message))
+            .map(|(&id, message)| {
+                (DestinationId(message.accepted.destination), message.accepted.deadline, id)
+            })
             .collect();
         let behind: BTreeSet<MessageId> = held.iter().map(|one| one.2).collect();
         engine.resume(|number| behind.contains(&number));
         engine.replay = (!held.is_empty()).then(|| Replay::new(engine.now, seed ^ now.0, held.into_iter()));
-        if !engine.flows.is_empty() {
-            let (open, owed) = (engine.open, engine.flows.len() - engine.open);
+        if !engine.messages.is_empty() {
+            let (open, owed) = (engine.open, engine.messages.len() - engine.open);
             engine
                 .outputs
                 .push(Output::Log(format!("journal replayed: {open} flows open, {owed} ends owed")));
         }
-        engine.possess();
+        engine.claim_journal();
         engine
     }
 
-    pub(super) fn replay(&mut self, record: Record, by_place: bool) {
+    pub(super) fn replay(&mut self, record: Record, by_index: bool) {
         match record {
-            Record::Taken(taken) => {
-                self.next_flow = self.next_flow.max(taken.flow.0.wrapping_add(1));
-                self.open(taken);
+            Record::Accepted(accepted) => {
+                self.next_message = self.next_message.max(accepted.message.0.wrapping_add(1));
+                self.open(accepted);
             }
-            Record::Sent { flow, at, endpoint } => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    flow.attempts += 1;
-                    flow.out = flow.may_have_run.is_none().then_some(0);
-                    flow.may_have_run.get_or_insert((at, endpoint));
+            Record::Sent { message, at, endpoint } => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    message.attempts += 1;
+                    message.out = message.may_have_run.is_none().then_some(0);
+                    message.may_have_run.get_or_insert((at, endpoint));
                 }
             }
-            Record::NeverRan(flow) => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
+            Record::NeverRan(message) => {
+                if let Some(message) = self.messages.get_mut(&message) {
                     // Only the attempt that set it can take it back.
-                    if flow.out.take().is_some() {
-                        flow.may_have_run = None;
+                    if message.out.take().is_some() {
+                        message.may_have_run = None;
                     }
                 }
             }
-            Record::Past { flow, attempts, may_have_run } => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    (flow.attempts, flow.may_have_run) = (attempts, may_have_run);
+            Record::AttemptSummary { message, attempts, may_have_run } => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    (message.attempts, message.may_have_run) = (attempts, may_have_run);
                 }
             }
-            Record::Ended { flow, at, end } => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    if flow.end.is_none() {
+            Record::Ended { message, at, outcome } => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    if message.outcome.is_none() {
                         self.open -= 1;
-                        self.counts[flow.tenant].open -= 1;
-                        self.intake.remove_message(flow.tenant);
+                        self.counts[message.tenant].open -= 1;
+                        self.intake.remove_message(message.tenant);
                     }
-                    flow.end = Some((end, at));
-                    if !owed(&flow.taken, end) {
-                        let number = flow.taken.flow;
-                        self.drop_flow(number);
+                    message.outcome = Some((outcome, at));
+                    if !needs_report(&message.accepted, outcome) {
+                        let number = message.accepted.message;
+                        self.drop_message(number);
                     }
                 }
             }
-            Record::Told(flow) => self.drop_flow(flow),
-            Record::Remembered { owner, space, id, at, end } => {
-                let first = by_place && space & FIRST_FRONT_SPACES != 0;
-                let space = if first { space ^ FIRST_FRONT_SPACES | FRONT_SPACES } else { space };
+            Record::Reported(message) => self.drop_message(message),
+            Record::Remembered { owner, id_scope, id, at, outcome } => {
+                let first = by_index && id_scope & FIRST_FRONT_SCOPES != 0;
+                let id_scope = if first { id_scope ^ FIRST_FRONT_SCOPES | FRONT_SCOPES } else { id_scope };
                 // A tenant's space is its number; whose an end in a front's space was, an older journal does not tell.
-                let of_space = if space < FRONT_SPACES { space } else { memory::NOBODY };
-                let owner = owner.unwrap_or(of_space);
-                self.memory.add(owner, (space, id), end, at);
+                let of_scope = if id_scope < FRONT_SCOPES { id_scope } else { memory::NOBODY };
+                let owner = owner.unwrap_or(of_scope);
+                self.memory.add(owner, (id_scope, id), outcome, at);
             }
             Record::Paused { tenant, paused: true } => {
                 self.paused.insert(tenant);
@@ -106,9 +109,9 @@
     }
 
     /// The folder is this process's from now on: the journal is written anew, with what is live.
-    pub fn possess(&mut self) {
+    pub fn claim_journal(&mut self) {
         self.journal.claim();
-        let live = snapshot(&self.directory, &self.flows, &self.calls, &self.memory, &self.paused);
+        let live = snapshot(&self.directory, &self.messages, &self.calls, &self.memory, &self.paused);
         match self.journal.compact(&live) {
             // What the replay ended is in it.
             Ok(()) => self.records.clear(),
@@ -122,13 +125,20 @@
     /// sent a second time.
     pub(super) fn end_strange(&mut self) -> Vec<MessageId> {
         let told = |class: Option<usize>| self.settings.classes.get(class?).map(|c| effect_code(c.effect));
-        let strange = |flow: &&Flow| flow.end.is_none() && told(flow.class) != Some(flow.taken.effect);
+        let strange = |message: &&HeldMessage| {
+            message.outcome.is_none() && told(message.class) != Some(message.accepted.effect)
+        };
         let strange: Vec<MessageId> =
-            self.flows.values().filter(strange).map(|flow| flow.taken.flow).collect();
+            self.messages.values().filter(strange).map(|message| message.accepted.message).collect();
         for &number in &strange {
-            let ran =
-                self.flows.get(&number).is_some_and(|flow| flow.may_have_run.is_some() || flow.out.is_some());
-            self.end(number, if ran { End::Undeliverable } else { End::Deferred(COME_AGAIN) });
+            let ran = self
+                .messages
+                .get(&number)
+                .is_some_and(|message| message.may_have_run.is_some() || message.out.is_some());
+            self.end_message(
+                number,
+                if ran { FinalOutcome::Undeliverable } else { FinalOutcome::Deferred(COME_AGAIN) },
+            );
         }
         // All ends that are owed, these too, are told below.
         self.outputs.clear();
@@ -137,25 +147,25 @@
 
     /// Hands open flows to the module, but those that it knows, and the ends that are owed to their fronts.
     pub(super) fn resume(&mut self, known: impl Fn(MessageId) -> bool) {
-        for (&number, flow) in &self.flows {
-            if let Some((end, _)) = flow.end {
-                self.outputs.push(tell(flow, end));
+        for (&number, message) in &self.messages {
+            if let Some((outcome, _)) = message.outcome {
+                self.outputs.push(tell(message, outcome));
             } else if !known(number) {
-                self.events.push(restored(number, flow, self.now));
+                self.events.push(restored(number, message, self.now));
             }
         }
     }
 
     /// So many members start, this one among them: what the journal held goes on at a pace that they share. Nothing changes
     /// where it was handed over all at once.
-    pub fn starts_among(&mut self, starting: usize) {
+    pub fn set_starting_members(&mut self, starting: usize) {
         if let Some(replay) = &mut self.replay {
             replay.among(starting);
         }
     }
 
     /// Some of what the journal held still waits.
-    pub fn replays(&self) -> bool {
+    pub fn is_replaying(&self) -> bool {
         self.replay.is_some()
     }
 
@@ -164,8 +174,8 @@
         let Some(replay) = &mut self.replay else { return };
         for number in replay.release(self.now) {
             // It may have ended meanwhile: nobody wanted it any more.
-            let flow = self.flows.get(&number).filter(|flow| flow.end.is_none());
-            self.events.extend(flow.map(|flow| restored(number, flow, self.now)));
+            let message = self.messages.get(&number).filter(|message| message.outcome.is_none());
+            self.events.extend(message.map(|message| restored(number, message, self.now)));
         }
         if self.replay.as_ref().is_some_and(Replay::over) {
             self.replay = None;
@@ -174,15 +184,15 @@
 }
 
 /// A flow of the journal for the module.
-fn restored(number: MessageId, flow: &Flow, now: Micros) -> Event {
+fn restored(number: MessageId, message: &HeldMessage, now: Micros) -> Event {
     let handed_in = Submission {
-        destination: DestinationId(flow.taken.destination),
-        time_left: flow.taken.deadline.minus(now),
-        class: flow.class.unwrap_or_default(),
+        destination: DestinationId(message.accepted.destination),
+        time_left: message.accepted.deadline.minus(now),
+        class: message.class.unwrap_or_default(),
         key: None,
-        tenant: flow.tenant,
+        tenant: message.tenant,
         resubmitted: true,
     };
-    let past = AttemptHistory { attempts: flow.attempts, may_have_run: flow.may_have_run };
+    let past = AttemptHistory { attempts: message.attempts, may_have_run: message.may_have_run };
     Event::Restored(number, handed_in, past)
 }
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -2,7 +2,7 @@
 //!
 //! A file is a magic line and records: length, CRC-32 and payload. What is written outlives the process without a
 //! sync. A torn or damaged tail is dropped. A compaction writes all that is live to a new file and renames it, so
-//! old and new are on the disk together for a moment; [`Journal::file_bound`] and [`Journal::live_bound`] leave
+//! old and new are on the disk together for a moment; [`Journal::max_file_size`] and [`Journal::max_live_size`] leave
 //! room for that.
 
 use crate::{Effect, EndpointId, MessageId, Micros};
@@ -25,7 +25,7 @@
 
 /// Within what an id names one flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Space {
+pub enum IdScope {
     /// Its tenant.
     Tenant,
     /// All tenants of its front.
@@ -34,15 +34,15 @@
 
 /// A flow as it was taken on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// Its number.
-    pub flow: MessageId,
+    pub message: MessageId,
     /// The front that took it on.
     pub front: u8,
     /// Within what its id is its own.
-    pub space: Space,
+    pub id_scope: IdScope,
     /// Whether the front wants to tell a delivery too.
-    pub tell_delivered: bool,
+    pub report_delivery: bool,
     /// Class, by number: see [`Record::Named`].
     pub class: u32,
     /// What repeating does in that class, see [`effect_code`]: settings may differ at the next start.
@@ -65,7 +65,7 @@
 
 /// How a flow ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FinalOutcome {
     /// It reached its destination.
     Delivered,
     /// Given up, with no promise about its effect.
@@ -73,18 +73,18 @@
     /// Given up; handing it in again after so long is harmless.
     Deferred(Micros),
     /// Nobody wants it any more: nothing is owed.
-    Over,
+    Closed,
 }
 
 /// One line of the record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// Taken on.
-    Taken(Taken),
+    Accepted(AcceptedMessage),
     /// An attempt is about to leave.
     Sent {
         /// The flow.
-        flow: MessageId,
+        message: MessageId,
         /// When, in Unix time.
         at: Micros,
         /// Where to.
@@ -95,18 +95,18 @@
     /// It is over; its front is still to be told, if it wants to be.
     Ended {
         /// The flow.
-        flow: MessageId,
+        message: MessageId,
         /// When, in Unix time.
         at: Micros,
         /// How.
-        end: End,
+        outcome: FinalOutcome,
     },
     /// The front has heard of the end.
-    Told(MessageId),
+    Reported(MessageId),
     /// Attempts so far and the first that may have run: stands in for `Sent` and `NeverRan` after a compaction.
-    Past {
+    AttemptSummary {
         /// The flow.
-        flow: MessageId,
+        message: MessageId,
         /// Attempts so far.
         attempts: u32,
         /// The first attempt that may have run.
@@ -117,13 +117,13 @@
         /// Whose it is: a tenant's number. None in journals of versions before this.
         owner: Option<u32>,
         /// The space of its id, as a number.
-        space: u32,
+        id_scope: u32,
         /// Its id at the client.
         id: Rc<[u8]>,
         /// When it ended, in Unix time.
         at: Micros,
         /// How.
-        end: End,
+        outcome: FinalOutcome,
     },
     /// A tenant is turned down from now on, or no longer.
     Paused {
@@ -144,13 +144,13 @@
 }
 
 /// A journal as it was found.
-pub struct Found {
+pub struct RecoveredJournal {
     /// The file, to go on with.
     pub journal: Journal,
     /// Its records, up to the first damage.
     pub records: Vec<Record>,
     /// It is of the first format: classes and tenants go by their places in the configuration.
-    pub by_place: bool,
+    pub by_index: bool,
 }
 
 /// The file, and the bytes of this turn that are not in it yet.
@@ -164,13 +164,13 @@
 impl Journal {
     /// Reads the folder's record, up to the first damage. A missing or unreadable one is empty. Nothing is written, and
     /// nothing may be, before [`Journal::claim`].
-    pub fn open(folder: &Path, disk: u64) -> Found {
+    pub fn open(folder: &Path, disk: u64) -> RecoveredJournal {
         let bytes = fs::read(folder.join(NAME)).unwrap_or_default();
         let (records, whole) = replay(&bytes);
-        let by_place = bytes.starts_with(FIRST);
-        let size = if by_place { 0 } else { whole };
+        let by_index = bytes.starts_with(FIRST);
+        let size = if by_index { 0 } else { whole };
         let journal = Journal { folder: folder.to_owned(), file: None, size, disk };
-        Found { journal, records, by_place }
+        RecoveredJournal { journal, records, by_index }
     }
 
     /// The record is this process's own from now on, to go on with.
@@ -187,7 +187,11 @@
     }
 
     /// The file holds all that was committed, and these records too: another process may read it.
-    pub fn settle(&mut self, records: &[Record], live: impl FnOnce() -> Vec<Record>) -> io::Result<()> {
+    pub fn ensure_written(
+        &mut self,
+        records: &[Record],
+        live: impl FnOnce() -> Vec<Record>,
+    ) -> io::Result<()> {
         if self.file.is_some() && records.is_empty() {
             return Ok(());
         }
@@ -195,7 +199,7 @@
     }
 
     /// Bytes of the folder that it may count on.
-    pub fn disk(&self) -> u64 {
+    pub fn disk_limit(&self) -> u64 {
         self.disk
     }
 
@@ -205,17 +209,17 @@
     }
 
     /// Another bound of the folder counts from now on.
-    pub fn rebound(&mut self, disk: u64) {
+    pub fn set_disk_limit(&mut self, disk: u64) {
         self.disk = disk;
     }
 
     /// The file is not let grow beyond this.
-    pub fn file_bound(&self) -> u64 {
+    pub fn max_file_size(&self) -> u64 {
         self.disk * 9 / 20
     }
 
     /// What must outlast a compaction may take so much.
-    pub fn live_bound(&self) -> u64 {
+    pub fn max_live_size(&self) -> u64 {
         self.disk * 3 / 10
     }
 
@@ -223,7 +227,8 @@
     /// place of the file instead. After an error nothing of them counts.
     pub fn commit(&mut self, records: &[Record], live: impl FnOnce() -> Vec<Record>) -> io::Result<()> {
         let bytes = encode(records);
-        let Some(file) = self.file.as_ref().filter(|_| self.size + bytes.len() as u64 <= self.file_bound())
+        let Some(file) =
+            self.file.as_ref().filter(|_| self.size + bytes.len() as u64 <= self.max_file_size())
         else {
             return self.compact(&live());
         };
@@ -243,7 +248,7 @@
     pub fn compact(&mut self, live: &[Record]) -> io::Result<()> {
         let mut bytes = MAGIC.to_vec();
         bytes.extend(encode(live));
-        if bytes.len() as u64 > self.file_bound() {
+        if bytes.len() as u64 > self.max_file_size() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let next = self.folder.join(NEXT);
@@ -269,9 +274,9 @@
 }
 
 /// Bytes that a flow and its end take in the file, about.
-pub fn room(taken: &Taken) -> u64 {
-    let names = taken.id.len() + taken.key.as_ref().map_or(0, |key| key.len()) + taken.origin.len();
-    (names + taken.body.len() + 160) as u64
+pub fn stored_size(accepted: &AcceptedMessage) -> u64 {
+    let names = accepted.id.len() + accepted.key.as_ref().map_or(0, |key| key.len()) + accepted.origin.len();
+    (names + accepted.body.len() + 160) as u64
 }
 
 fn encode(records: &[Record]) -> Vec<u8> {
@@ -306,13 +311,13 @@
     (records, (bytes.len() - rest.len()) as u64)
 }
 
-impl End {
+impl FinalOutcome {
     fn code(self) -> (u8, Micros) {
         match self {
-            End::Delivered => (0, Micros(0)),
-            End::Undeliverable => (1, Micros(0)),
-            End::Deferred(again) => (2, again),
-            End::Over => (3, Micros(0)),
+            FinalOutcome::Delivered => (0, Micros(0)),
+            FinalOutcome::Undeliverable => (1, Micros(0)),
+            FinalOutcome::Deferred(again) => (2, again),
+            FinalOutcome::Closed => (3, Micros(0)),
         }
     }
 }
@@ -325,62 +330,62 @@
             out.extend(value);
         };
         match self {
-            Record::Taken(taken) => {
+            Record::Accepted(accepted) => {
                 out.push(1);
-                number(out, taken.flow.0.into());
+                number(out, accepted.message.0.into());
                 out.extend([
-                    taken.front,
-                    u8::from(taken.tell_delivered) | u8::from(taken.space == Space::Front) << 1,
-                    taken.key.is_some().into(),
-                    taken.effect,
+                    accepted.front,
+                    u8::from(accepted.report_delivery) | u8::from(accepted.id_scope == IdScope::Front) << 1,
+                    accepted.key.is_some().into(),
+                    accepted.effect,
                 ]);
-                number(out, taken.class.into());
-                number(out, taken.tenant.into());
-                number(out, taken.destination);
-                number(out, taken.deadline.0);
-                bytes(out, &taken.id);
-                bytes(out, taken.key.as_deref().unwrap_or_default());
-                bytes(out, &taken.origin);
-                bytes(out, &taken.body);
+                number(out, accepted.class.into());
+                number(out, accepted.tenant.into());
+                number(out, accepted.destination);
+                number(out, accepted.deadline.0);
+                bytes(out, &accepted.id);
+                bytes(out, accepted.key.as_deref().unwrap_or_default());
+                bytes(out, &accepted.origin);
+                bytes(out, &accepted.body);
             }
-            Record::Sent { flow, at, endpoint } => {
+            Record::Sent { message, at, endpoint } => {
                 out.push(2);
-                number(out, flow.0.into());
+                number(out, message.0.into());
                 number(out, at.0);
                 number(out, endpoint.0);
             }
-            Record::NeverRan(flow) => {
+            Record::NeverRan(message) => {
                 out.push(3);
-                number(out, flow.0.into());
+                number(out, message.0.into());
             }
-            Record::Ended { flow, at, end } => {
+            Record::Ended { message, at, outcome } => {
                 out.push(4);
-                number(out, flow.0.into());
+                number(out, message.0.into());
                 number(out, at.0);
-                out.push(end.code().0);
-                number(out, end.code().1 .0);
+                out.push(outcome.code().0);
+                number(out, outcome.code().1 .0);
             }
-            Record::Told(flow) => {
+            Record::Reported(message) => {
                 out.push(5);
-                number(out, flow.0.into());
+                number(out, message.0.into());
             }
-            Record::Past { flow, attempts, may_have_run } => {
+            Record::AttemptSummary { message, attempts, may_have_run } => {
                 out.push(6);
-                number(out, flow.0.into());
+                number(out, message.0.into());
                 number(out, (*attempts).into());
                 out.push(may_have_run.is_some().into());
                 let (at, endpoint) = may_have_run.unwrap_or_default();
                 number(out, at.0);
                 number(out, endpoint.0);
             }
-            Record::Remembered { owner, space, id, at, end } => {
+            Record::Remembered { owner, id_scope, id, at, outcome } => {
                 out.push(if owner.is_some() { 10 } else { 7 });
                 owner.iter().for_each(|&owner| number(out, owner.into()));
-                number(out, (*space).into());
+                number(out, (*id_scope).into());
                 bytes(out, id);
                 number(out, at.0);
-                out.push(end.code().0);
-                number(out, end.code().1 .0);
+                out.push(outcome.code().0);
+                number(out, outcome.code().1 .0);
             }
             Record::Paused { tenant, paused } => {
                 out.push(8);
@@ -401,20 +406,20 @@
         let kind = fields.byte()?;
         let record = match kind {
             1 => {
-                let flow = fields.flow()?;
+                let message = fields.message()?;
                 let (front, flags, keyed) = (fields.byte()?, fields.byte()?, fields.byte()? != 0);
-                let space = if flags & 2 == 0 { Space::Tenant } else { Space::Front };
+                let id_scope = if flags & 2 == 0 { IdScope::Tenant } else { IdScope::Front };
                 let effect = fields.byte()?;
                 let (class, tenant) = (fields.short()?, fields.short()?);
                 let (destination, deadline) = (fields.number()?, Micros(fields.number()?));
                 let (id, key) = (fields.bytes()?, fields.bytes()?);
                 let (origin, body) = (fields.bytes()?, fields.bytes()?);
                 let key = keyed.then_some(key);
-                Record::Taken(Taken {
-                    flow,
+                Record::Accepted(AcceptedMessage {
+                    message,
                     front,
-                    space,
-                    tell_delivered: flags & 1 != 0,
+                    id_scope,
+                    report_delivery: flags & 1 != 0,
                     class,
                     effect,
                     tenant,
@@ -427,25 +432,29 @@
                 })
             }
             2 => Record::Sent {
-                flow: fields.flow()?,
+                message: fields.message()?,
                 at: Micros(fields.number()?),
                 endpoint: EndpointId(fields.number()?),
             },
-            3 => Record::NeverRan(fields.flow()?),
-            4 => Record::Ended { flow: fields.flow()?, at: Micros(fields.number()?), end: fields.end()? },
-            5 => Record::Told(fields.flow()?),
+            3 => Record::NeverRan(fields.message()?),
+            4 => Record::Ended {
+                message: fields.message()?,
+                at: Micros(fields.number()?),
+                outcome: fields.final_outcome()?,
+            },
+            5 => Record::Reported(fields.message()?),
             6 => {
-                let (flow, attempts) = (fields.flow()?, fields.number()? as u32);
+                let (message, attempts) = (fields.message()?, fields.number()? as u32);
                 let ran = fields.byte()? != 0;
                 let first = (Micros(fields.number()?), EndpointId(fields.number()?));
-                Record::Past { flow, attempts, may_have_run: ran.then_some(first) }
+                Record::AttemptSummary { message, attempts, may_have_run: ran.then_some(first) }
             }
             7 | 10 => Record::Remembered {
                 owner: if kind == 10 { Some(fields.short()?) } else { None },
-                space: fields.short()?,
+                id_scope: fields.short()?,
                 id: fields.bytes()?,
                 at: Micros(fields.number()?),
-                end: fields.end()?,
+                outcome: fields.final_outcome()?,
             },
             8 => Record::Paused { tenant: fields.short()?, paused: fields.byte()? != 0 },
             9 => {
@@ -462,9 +471,9 @@
 
 impl<'a> Fields<'a> {
     fn some(&mut self, length: usize) -> Option<&'a [u8]> {
-        let (taken, rest) = self.0.split_at_checked(length)?;
+        let (accepted, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
-        Some(taken)
+        Some(accepted)
     }
 
     fn byte(&mut self) -> Option<u8> {
@@ -480,7 +489,7 @@
         u32::try_from(self.number()?).ok()
     }
 
-    fn flow(&mut self) -> Option<MessageId> {
+    fn message(&mut self) -> Option<MessageId> {
         self.short().map(MessageId)
     }
 
@@ -489,13 +498,13 @@
         self.some(length).map(Rc::from)
     }
 
-    fn end(&mut self) -> Option<End> {
+    fn final_outcome(&mut self) -> Option<FinalOutcome> {
         let (code, again) = (self.byte()?, Micros(self.number()?));
         Some(match code {
-            0 => End::Delivered,
-            1 => End::Undeliverable,
-            2 => End::Deferred(again),
-            3 => End::Over,
+            0 => FinalOutcome::Delivered,
+            1 => FinalOutcome::Undeliverable,
+            2 => FinalOutcome::Deferred(again),
+            3 => FinalOutcome::Closed,
             _ => return None,
         })
     }
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -12,7 +12,7 @@
 use crate::config::model::Token;
 use crate::config::problem::Problem;
 use crate::engine::{Counts, Engine, Input};
-use crate::journal::End;
+use crate::journal::FinalOutcome;
 use crate::tenancy::rate::ArrivalLimiter;
 use crate::{Lifecycle, Micros};
 use changes::{Ask, Asked, Verdict};
@@ -339,8 +339,8 @@
             },
             ("GET", ["v1", "flows"]) => list(self.flows(view, sees)),
             ("GET", ["v1", "counts"]) => {
-                let own = scope.map(|tenant| view.engine.tenant(tenant).0);
-                Answer::text(format!("{{{}}}\n", counts(&own.unwrap_or(view.engine.sums()))))
+                let own = scope.map(|tenant| view.engine.tenant_status(tenant).0);
+                Answer::text(format!("{{{}}}\n", counts(&own.unwrap_or(view.engine.totals()))))
             }
             // The list belongs to no tenant.
             ("GET", ["v1", "entries"]) if scope.is_some() => Answer::empty(403),
@@ -353,10 +353,10 @@
     }
 
     fn tenant(&self, tenant: usize, view: View) -> String {
-        let (told, paused) = view.engine.tenant(tenant);
+        let (told, paused) = view.engine.tenant_status(tenant);
         let open = told.open;
         let name = escape(view.engine.directory().tenants.name(tenant));
-        let shares = view.engine.shares(tenant).map(|(name, used, bounds)| {
+        let shares = view.engine.tenant_shares(tenant).map(|(name, used, bounds)| {
             let (own, most) = (bounds.guarantee, bounds.ceiling);
             format!("\"{name}\":{{\"used\":{used},\"guarantee\":{own},\"ceiling\":{most}}}")
         });
@@ -369,11 +369,11 @@
 
     fn flows(&self, view: View, sees: impl Fn(usize) -> bool) -> Vec<String> {
         let names = view.engine.directory();
-        let seen = view.engine.flows().filter(|flow| sees(flow.tenant)).take(MOST_FLOWS);
+        let seen = view.engine.messages().filter(|flow| sees(flow.tenant)).take(MOST_FLOWS);
         let line = seen.map(|flow| {
-            let state = match flow.end {
-                Some(End::Delivered) => "delivered",
-                Some(End::Deferred(_)) => "deferred",
+            let state = match flow.outcome {
+                Some(FinalOutcome::Delivered) => "delivered",
+                Some(FinalOutcome::Deferred(_)) => "deferred",
                 Some(_) => "undeliverable",
                 None if flow.out => "out",
                 None => "held",
@@ -417,6 +417,6 @@
 fn counts(counts: &Counts) -> String {
     format!(
         "\"taken_on\":{},\"turned_down\":{},\"delivered\":{},\"undeliverable\":{},\"deferred\":{}",
-        counts.taken_on, counts.turned_down, counts.delivered, counts.undeliverable, counts.deferred
+        counts.accepted, counts.rejected, counts.delivered, counts.undeliverable, counts.deferred
     )
 }
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -148,7 +148,7 @@
                     Problem::new("membership.listen", what, "choose an address that is free")
                 })
             }
-            Part::Disk(disk) => match engine.fits(*disk) {
+            Part::Disk(disk) => match engine.check_disk_limit(*disk) {
                 Ok(()) => Ok(Held::Nothing),
                 Err(what) => {
                     Err(Problem::new("limits.disk_mb", what, "allow more, or wait until less is held"))
@@ -200,7 +200,7 @@
                     let directory = node.engine.directory().clone();
                     let logins = self.to.publishers.clone();
                     node.publishers = Some(Front::new(listener, logins, directory, self.now));
-                    node.engine.tell_again(PUBLISHERS);
+                    node.engine.repeat_reports(PUBLISHERS);
                 }
                 (None, _) => node.publishers = None,
             },
@@ -218,10 +218,10 @@
                     before.tick(self.now);
                 }
                 if told.is_none() {
-                    node.engine.shared_by(None);
+                    node.engine.set_forwarder_count(None);
                     // Nobody is known who starts beside it any more.
                     node.ramp = None;
-                    node.engine.begins_with(None);
+                    node.engine.set_initial_rate(None);
                 }
                 let handed = node.members.as_ref().map(Members::hand_over);
                 let (siblings, seed) = (self.to.core.settings.forwarders, node.seed);
@@ -237,7 +237,7 @@
                     members
                 });
             }
-            (Part::Disk(disk), _) => node.engine.rebound(*disk),
+            (Part::Disk(disk), _) => node.engine.set_disk_limit(*disk),
             (Part::Core(core), _) => {
                 node.engine.configure(core);
                 self.limits();
@@ -285,7 +285,8 @@
     /// At most one change, and what a trial asks for. Cost: none while nothing waits and nothing is on trial.
     pub(super) fn between_turns(&mut self, now: Micros, turn: Micros) {
         debug_assert!(
-            self.change_service.is_consistent() && self.engine.runs(&self.change_service.model().core)
+            self.change_service.is_consistent()
+                && self.engine.has_settings(&self.change_service.model().core)
         );
         let sums = self.sums();
         if let Some(change) = self.change_service.check_window(now, sums, turn) {
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -10,8 +10,8 @@
 use super::PUBLISHERS;
 use crate::config::model::Publisher as Login;
 use crate::directory::Directory;
-use crate::engine::{Input, Offer, Reply, Token};
-use crate::journal::{End, Space};
+use crate::engine::{Input, MessageSubmission, Reply, Token};
+use crate::journal::{FinalOutcome, IdScope};
 use crate::net::amqp::{
     self, fault, method, Args, Content, Fault, Frame, Method, Properties, Pulse, Put, Value,
 };
@@ -44,7 +44,7 @@
     flow: Option<MessageId>,
     id: Rc<[u8]>,
     correlation: Rc<[u8]>,
-    end: End,
+    end: FinalOutcome,
     redelivered: bool,
 }
 
@@ -298,7 +298,7 @@
 
     fn delete(&mut self, name: &QueueName, inputs: &mut Vec<Input>) -> usize {
         let Some(queue) = self.queues.remove(name) else { return 0 };
-        inputs.extend(queue.waiting.iter().filter_map(|answer| answer.flow).map(Input::Told));
+        inputs.extend(queue.waiting.iter().filter_map(|answer| answer.flow).map(Input::OutcomeReported));
         queue.waiting.len()
     }
 
@@ -381,17 +381,17 @@
         flow: MessageId,
         tenant: usize,
         id: Rc<[u8]>,
-        (origin, end): (&[u8], End),
+        (origin, end): (&[u8], FinalOutcome),
         inputs: &mut Vec<Input>,
     ) {
         let mut origin = Args(origin);
         let (Ok(exclusive), Ok(name), Ok(correlation)) = (origin.octet(), origin.name(), origin.name())
         else {
-            return inputs.push(Input::Told(flow));
+            return inputs.push(Input::OutcomeReported(flow));
         };
         let key = (tenant, Rc::from(name));
         if exclusive != 0 && !self.queues.contains_key(&key) {
-            return inputs.push(Input::Told(flow));
+            return inputs.push(Input::OutcomeReported(flow));
         }
         let answer =
             Answer { flow: Some(flow), id, correlation: correlation.into(), end, redelivered: false };
@@ -492,7 +492,7 @@
     inputs: &mut Vec<Input>,
 ) {
     if no_ack {
-        inputs.extend(answer.flow.map(Input::Told));
+        inputs.extend(answer.flow.map(Input::OutcomeReported));
     } else {
         queue.out += 1;
         channel.unacked.insert(channel.delivered, (key, answer));
@@ -501,12 +501,12 @@
 
 fn write_answer(out: &mut Vec<u8>, number: u16, answer: &Answer, frame_max: u32) {
     let status = match answer.end {
-        End::Delivered => "delivered",
-        End::Deferred(_) => "deferred",
-        End::Undeliverable | End::Over => "undeliverable",
+        FinalOutcome::Delivered => "delivered",
+        FinalOutcome::Deferred(_) => "deferred",
+        FinalOutcome::Undeliverable | FinalOutcome::Closed => "undeliverable",
     };
     let mut headers = vec![("status".to_owned(), Value::Text(status.into()))];
-    if let End::Deferred(again) = answer.end {
+    if let FinalOutcome::Deferred(again) = answer.end {
         headers.push(("again_ms".to_owned(), Value::Number(again.0.div_ceil(1000) as i64)));
     }
     let properties = Properties {
@@ -528,7 +528,7 @@
     directory: &Directory,
     properties: Properties,
     body: Vec<u8>,
-) -> Result<(Offer, ReplyTo), Fault> {
+) -> Result<(MessageSubmission, ReplyTo), Fault> {
     let graphic = |name: &[u8]| !name.is_empty() && name.iter().all(u8::is_ascii_graphic);
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let destination = properties.header("dest").and_then(|dest| text(&dest).parse().ok());
@@ -558,18 +558,18 @@
         let correlation = properties.correlation_id.unwrap_or_else(|| id.clone());
         (queue, correlation)
     });
-    let offer = Offer {
+    let offer = MessageSubmission {
         token,
         front: PUBLISHERS,
-        space: Space::Tenant,
-        tell_delivered: reply.is_some(),
+        id_scope: IdScope::Tenant,
+        report_delivery: reply.is_some(),
         tenant,
         class,
         destination,
         id,
         key,
         time_left,
-        again: false,
+        resubmitted: false,
         origin: Rc::from(&[][..]),
         body: body.into(),
     };
--- a/src/net/clients/amqp/methods.rs
+++ b/src/net/clients/amqp/methods.rs
@@ -314,7 +314,7 @@
                 if let Some(queue) = self.queues.get_mut(&key) {
                     queue.out = queue.out.saturating_sub(1);
                 }
-                inputs.extend(answer.flow.map(Input::Told));
+                inputs.extend(answer.flow.map(Input::OutcomeReported));
             }
         }
         Ok(true)
--- a/src/net/clients/amqp/publishing.rs
+++ b/src/net/clients/amqp/publishing.rs
@@ -44,7 +44,7 @@
                 origin
             });
             self.asked.insert(self.next_token, asked);
-            inputs.push(Input::Offer(Offer { origin: origin.into(), ..offer }));
+            inputs.push(Input::Submission(MessageSubmission { origin: origin.into(), ..offer }));
         }
         Ok(true)
     }
@@ -53,9 +53,9 @@
     pub fn reply(&mut self, poll: &Poll, token: Token, reply: Reply, now: Micros, inputs: &mut Vec<Input>) {
         let Some(asked) = self.asked.remove(&token) else { return };
         match reply {
-            Reply::TakenOn => self.confirm(&asked, true),
-            Reply::TurnDown(_) | Reply::Taken => self.confirm(&asked, false),
-            Reply::Known(end) => {
+            Reply::Accepted => self.confirm(&asked, true),
+            Reply::Rejected(_) | Reply::IdConflict => self.confirm(&asked, false),
+            Reply::AlreadyEnded(end) => {
                 self.confirm(&asked, true);
                 if let Some((name, correlation)) = asked.reply.clone() {
                     // Not a second time while the first one still waits.
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -3,8 +3,8 @@
 use super::life::{Late, Life};
 use super::PLATFORM;
 use crate::directory::Directory;
-use crate::engine::{Input, Offer, Reply, Token};
-use crate::journal::{End, Space};
+use crate::engine::{Input, MessageSubmission, Reply, Token};
+use crate::journal::{FinalOutcome, IdScope};
 use crate::lifecycle::Connections;
 use crate::net::http::{self, Headers, Parsed, Request};
 use crate::net::poll::{Peer, Poll};
@@ -276,7 +276,7 @@
                     edge.continued = false;
                     edge.life.asked(request.close || edge.leaving || leaving);
                     match offer(token, request, &self.directory, self.is_ready) {
-                        Ok(offer) => inputs.push(Input::Offer(offer)),
+                        Ok(offer) => inputs.push(Input::Submission(offer)),
                         Err(status) => {
                             edge.life.answered(now, false);
                             send(poll, edge, status, &[], b"");
@@ -341,11 +341,13 @@
         let Some(edge) = self.edges.get_mut(&token) else { return };
         edge.life.answered(edge.used_at, edge.leaving || self.fate != Connections::Kept);
         let (status, after, body) = match reply {
-            Reply::TakenOn => (202, None, ""),
-            Reply::TurnDown(after) | Reply::Known(End::Deferred(after)) => (503, Some(after), ""),
-            Reply::Known(End::Delivered) => (200, None, "{\"status\":\"delivered\"}\n"),
-            Reply::Known(_) => (410, None, "{\"status\":\"undeliverable\"}\n"),
-            Reply::Taken => (409, None, ""),
+            Reply::Accepted => (202, None, ""),
+            Reply::Rejected(after) | Reply::AlreadyEnded(FinalOutcome::Deferred(after)) => {
+                (503, Some(after), "")
+            }
+            Reply::AlreadyEnded(FinalOutcome::Delivered) => (200, None, "{\"status\":\"delivered\"}\n"),
+            Reply::AlreadyEnded(_) => (410, None, "{\"status\":\"undeliverable\"}\n"),
+            Reply::IdConflict => (409, None, ""),
             Reply::Unknown => (400, None, ""),
         };
         match after {
@@ -450,7 +452,12 @@
 }
 
 /// The offer that a request makes, or the status that it is answered with.
-fn offer(token: Token, request: Request, directory: &Directory, is_ready: bool) -> Result<Offer, u16> {
+fn offer(
+    token: Token,
+    request: Request,
+    directory: &Directory,
+    is_ready: bool,
+) -> Result<MessageSubmission, u16> {
     let path = request.target.split('?').next().unwrap_or_default();
     match (path, request.method.as_str()) {
         ("/ready", "GET" | "HEAD") => return Err(if is_ready { 200 } else { 503 }),
@@ -470,19 +477,19 @@
         Ok(value.map(|value| Rc::from(value.as_bytes())))
     };
     let class = headers.get("Request-Class").and_then(|name| directory.classes.active_index(name));
-    Ok(Offer {
+    Ok(MessageSubmission {
         token,
         front: PLATFORM,
         // Real servers tell messages of this front apart by their ids alone, whoever's they are.
-        space: Space::Front,
-        tell_delivered: false,
+        id_scope: IdScope::Front,
+        report_delivery: false,
         tenant: directory.tenant_index(headers.get("Tenant")).ok_or(400u16)?,
         class: class.ok_or(400u16)?,
         destination: destination(headers).ok_or(400u16)?,
         id: name("Request-Id")?.ok_or(400u16)?,
         key: name("Idempotency-Key")?,
         time_left: time_left(headers).ok_or(400u16)?,
-        again: headers.get("Client-Retry").is_some(),
+        resubmitted: headers.get("Client-Retry").is_some(),
         origin: Rc::from(&[][..]),
         body: request.body.into(),
     })
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -6,7 +6,7 @@
 use super::list::{endpoint_id, Entry, Names};
 use super::members;
 use super::servers::http::HandedConnection;
-use crate::engine::handover::Handed;
+use crate::engine::handover::EngineHandover;
 use crate::lifecycle::Lifecycle;
 use crate::Micros;
 use rustix::fs::{flock, FlockOperation};
@@ -61,7 +61,7 @@
     #[serde(default)]
     pub wall: Option<Micros>,
     /// Of the core.
-    pub core: Handed,
+    pub core: EngineHandover,
     /// A drain goes on.
     pub life: Lifecycle,
     /// The list as discovery told it, and its version.
--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -69,7 +69,7 @@
         }
         let scope = if news.whole { ListScope::Whole } else { ListScope::Changes };
         if news.whole || !members.is_empty() {
-            self.inputs.push(Input::Entries(scope, members));
+            self.inputs.push(Input::EndpointRecords(scope, members));
         }
     }
 }
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -128,8 +128,16 @@
         let admin = self.admin.as_ref().and_then(Admin::due);
         let ops = self.ops.as_ref().and_then(Ops::due);
         let life = self.life.due(now);
-        let own =
-            [self.engine.due(), self.watch.due(), self.reports.due(), publishers, dns_sd, admin, ops, life];
+        let own = [
+            self.engine.next_due(),
+            self.watch.due(),
+            self.reports.due(),
+            publishers,
+            dns_sd,
+            admin,
+            ops,
+            life,
+        ];
         let members = self.members.as_ref().map(|members| members.due(now));
         let change = [members, self.change_service.due(), self.reload.as_ref().map(Reload::due)];
         let peers = [self.servers.due(), self.brokers.due(), self.platform.due()];
@@ -155,8 +163,8 @@
         self.platform.tick(&mut self.poll, now);
         if let Some(members) = &mut self.members {
             let divisor = members.tick(now);
-            self.engine.shared_by(Some(divisor));
-            self.engine.starts_among(members.among().starting);
+            self.engine.set_forwarder_count(Some(divisor));
+            self.engine.set_starting_members(members.among().starting);
             self.watch.wanted = members.may_ask(now);
             if members.confirmed(now) {
                 self.life.confirmed();
@@ -166,7 +174,7 @@
             self.maintain(now);
         }
         let inputs = std::mem::take(&mut self.inputs);
-        for output in self.engine.turn(now, inputs) {
+        for output in self.engine.step(now, inputs) {
             self.carry_out(output, now);
         }
         if let Some(front) = &mut self.publishers {
@@ -231,7 +239,7 @@
             }
             Peer::Reports => {
                 let told = self.reports.ready(&self.poll, token);
-                self.inputs.extend(told.into_iter().map(Input::Told));
+                self.inputs.extend(told.into_iter().map(Input::OutcomeReported));
             }
             Peer::AmqpListener => {
                 if let Some(front) = &mut self.publishers {
@@ -276,12 +284,12 @@
     fn ramp_up(&mut self, now: Micros) {
         let (Some(ramp), Some(members)) = (&mut self.ramp, &self.members) else { return };
         for input in &self.inputs {
-            if let Input::Offer(offer) = input {
+            if let Input::Submission(offer) = input {
                 ramp.wants(now, offer.destination);
             }
         }
         let first = ramp.pace(now);
-        self.engine.begins_with(first);
+        self.engine.set_initial_rate(first);
         if first.is_none() {
             self.ramp = None;
             return;
@@ -304,7 +312,7 @@
         self.platform.is_ready = self.life.takes_clients();
         self.platform.fate = self.life.connections(now);
         if !self.life.may_call(now) && !std::mem::replace(&mut self.last_call, true) {
-            self.inputs.push(Input::LastCall);
+            self.inputs.push(Input::StopCalls);
         }
     }
 
@@ -329,11 +337,13 @@
                 self.servers.abort(call);
                 self.brokers.abort(&self.poll, call);
             }
-            Output::Tell { flow, front: PLATFORM, id, end, .. } => self.reports.tell(flow, &id, end),
+            Output::ReportOutcome { message, front: PLATFORM, id, outcome, .. } => {
+                self.reports.tell(message, &id, outcome)
+            }
             // While the front is off, its ends stay owed.
-            Output::Tell { flow, tenant, id, origin, end, .. } => {
+            Output::ReportOutcome { message, tenant, id, origin, outcome, .. } => {
                 if let Some(front) = &mut self.publishers {
-                    front.tell(flow, tenant, id, (&origin, end), &mut self.inputs);
+                    front.tell(message, tenant, id, (&origin, outcome), &mut self.inputs);
                 }
             }
             Output::CloseIdle(endpoint) => self.servers.close_idle(endpoint),
--- a/src/net/node/operations.rs
+++ b/src/net/node/operations.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::config::probation::ServiceCounts;
-use crate::engine::figures::Figures;
+use crate::engine::figures::ClassCounts;
 use crate::lifecycle::{NoWayBack, Stage};
 use crate::maintenance::agent::Facts;
 use crate::net::admin::{self, View};
@@ -15,7 +15,7 @@
     /// Maintenance: goes out and comes back as the ledger says, and answers staff.
     pub(super) fn maintain(&mut self, now: Micros) {
         let Some(members) = &mut self.members else { return };
-        let settled = self.ramp.as_ref().is_none_or(|ramp| ramp.settled(now)) && !self.engine.replays();
+        let settled = self.ramp.as_ref().is_none_or(|ramp| ramp.settled(now)) && !self.engine.is_replaying();
         let (life, outstanding, clients) = (&self.life, self.engine.outstanding(), self.platform.held());
         let facts = || Facts {
             in_service: life.takes_clients(),
@@ -85,9 +85,9 @@
     /// The figures for operators' staff. Cost: the classes and the endpoints listed.
     pub(in crate::net) fn stats(&self, now: Micros) -> serde_json::Value {
         let classes = &self.engine.directory().classes;
-        let forwards: u64 = classes.active().map(|place| self.engine.figures(place).forwards).sum();
+        let forwards: u64 = classes.active().map(|place| self.engine.class_counts(place).forwards).sum();
         let results = classes.active().map(|place| {
-            let Figures { succeeded, declined, aborted, forwards } = self.engine.figures(place);
+            let ClassCounts { succeeded, declined, aborted, forwards } = self.engine.class_counts(place);
             let counts = json!({
                 "succeeded": succeeded, "declined": declined, "aborted": aborted, "forwards": forwards,
             });
@@ -98,12 +98,12 @@
             "forwards": forwards,
             "outstanding": self.engine.outstanding(),
             "discovered": self.book.0.len(),
-            "ejected": self.engine.avoided(),
+            "ejected": self.engine.open_circuits(),
             "stage": self.life.stage().word(),
         });
         if let Some(members) = &self.members {
             figures["membership"] = members.figures(now);
-            let (starting, replays) = (members.among().starting, self.engine.replays());
+            let (starting, replays) = (members.among().starting, self.engine.is_replaying());
             let start = self.ramp.as_ref().map(|ramp| ramp.figures(now));
             figures["membership"]["start"] = match start {
                 Some((window, raised)) => {
@@ -132,12 +132,12 @@
 
     /// Sums for a probation.
     pub(in crate::net) fn sums(&self) -> ServiceCounts {
-        let counts = self.engine.sums();
+        let counts = self.engine.totals();
         let publishers = self.publishers.as_ref().map_or(0, |front| front.listener_failures);
         let admin = self.admin.as_ref().map_or(0, |admin| admin.listener_failures);
         ServiceCounts {
-            accepted: counts.taken_on,
-            rejected: counts.turned_down,
+            accepted: counts.accepted,
+            rejected: counts.rejected,
             listener_failures: self.platform.listener_failures + publishers + admin,
         }
     }
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -216,7 +216,7 @@
 fn ramp(engine: &Engine, model: &Model, seed: u64, now: Micros) -> Ramp {
     let shortest = model.core.settings.classes.iter().map(|class| class.deadline).min().unwrap_or_default();
     let mut ramp = Ramp::new(seed ^ now.0, shortest);
-    let open = engine.flows().filter(|flow| flow.end.is_none());
+    let open = engine.messages().filter(|flow| flow.outcome.is_none());
     open.for_each(|flow| ramp.wants(now, DestinationId(flow.destination)));
     ramp
 }
@@ -254,7 +254,7 @@
             Some(state) => {
                 let places = model.names.places(&state.names);
                 let core = (state.core.clone(), &places);
-                Engine::follow(&model.core, seed, place, now, cached, core)
+                Engine::resume_handover(&model.core, seed, place, now, cached, core)
             }
             None => {
                 let resume = if model.members.is_some() { Resume::Paced } else { Resume::AtOnce };
@@ -295,7 +295,7 @@
         let mut inputs = Vec::new();
         if let Some(state) = handed {
             upgrade::connections(&mut poll, state, sockets, (&mut platform, &mut servers), |broken| {
-                inputs.push(Input::Broken(broken))
+                inputs.push(Input::ConnectionFailed(broken))
             });
         }
         Ok(Node {
--- a/src/net/reports.rs
+++ b/src/net/reports.rs
@@ -3,7 +3,7 @@
 use super::caller::Caller;
 use super::http::write_request;
 use super::poll::{Peer, Poll};
-use crate::journal::End;
+use crate::journal::FinalOutcome;
 use crate::{MessageId, Micros};
 use std::net::SocketAddr;
 
@@ -41,10 +41,10 @@
     }
 
     /// An end that is owed.
-    pub fn tell(&mut self, flow: MessageId, id: &[u8], end: End) {
+    pub fn tell(&mut self, flow: MessageId, id: &[u8], end: FinalOutcome) {
         let id = escape(&String::from_utf8_lossy(id));
         let line = match end {
-            End::Deferred(again) => {
+            FinalOutcome::Deferred(again) => {
                 let again_ms = again.0.div_ceil(1000);
                 format!("{{\"id\":\"{id}\",\"status\":\"deferred\",\"again_ms\":{again_ms}}}\n")
             }
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -104,7 +104,9 @@
         items: Vec<Item>,
         inputs: &mut Vec<Input>,
     ) {
-        let Some(broker) = self.brokers.get(&endpoint) else { return inputs.push(Input::Broken(call)) };
+        let Some(broker) = self.brokers.get(&endpoint) else {
+            return inputs.push(Input::ConnectionFailed(call));
+        };
         let fit = |link: &Link| link.endpoint == endpoint && !link.leaving;
         let known = self.links.iter().find(|(_, link)| fit(link)).map(|(&token, _)| token);
         let token = known.unwrap_or_else(|| poll.token(Peer::Broker));
@@ -113,7 +115,7 @@
                 stream.send(poll, amqp::PROTOCOL)?;
                 Ok(stream)
             });
-            let Ok(stream) = connected else { return inputs.push(Input::Broken(call)) };
+            let Ok(stream) = connected else { return inputs.push(Input::ConnectionFailed(call)) };
             let link = Link {
                 endpoint,
                 broker: broker.clone(),
@@ -134,7 +136,7 @@
             link.channels.iter().find(|(_, channel)| channel.call.is_none()).map(|(&number, _)| number);
         let unused = |number: &u16| !link.channels.contains_key(number) && !link.closing.contains(number);
         let Some(number) = free.or_else(|| (1..=link.channel_max).find(unused)) else {
-            return inputs.push(Input::Broken(call));
+            return inputs.push(Input::ConnectionFailed(call));
         };
         let mut out = Vec::new();
         if free.is_none() && matches!(link.stage, Stage::Open) {
@@ -211,7 +213,10 @@
     fn lose(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(link) = self.links.remove(&token) else { return };
         inputs.extend(
-            link.channels.into_values().filter_map(|channel| channel.call).map(|out| Input::Broken(out.call)),
+            link.channels
+                .into_values()
+                .filter_map(|channel| channel.call)
+                .map(|out| Input::ConnectionFailed(out.call)),
         );
     }
 
@@ -347,7 +352,7 @@
                 log!("broker {}: closed a channel: {code} {text}", broker.address);
                 amqp::write_method(out, number, method::CHANNEL_CLOSE_OK, &[]);
                 let call = self.channels.remove(&number).and_then(|channel| channel.call);
-                inputs.extend(call.map(|out| Input::Broken(out.call)));
+                inputs.extend(call.map(|out| Input::ConnectionFailed(out.call)));
             }
             method::CHANNEL_CLOSE_OK => self.closing.retain(|&closing| closing != number),
             method::CHANNEL_FLOW => amqp::write_method(out, number, method::CHANNEL_FLOW_OK, &[1]),
--- a/src/net/servers/http.rs
+++ b/src/net/servers/http.rs
@@ -316,7 +316,7 @@
     ) {
         let newest = self.reusable(endpoint);
         let Some(&address) = self.addresses.get(&endpoint) else {
-            return inputs.push(Input::Broken(call));
+            return inputs.push(Input::ConnectionFailed(call));
         };
         let token = newest.unwrap_or_else(|| poll.token(Peer::Server));
         if newest.is_none() {
@@ -333,7 +333,7 @@
                 }
                 Err(problem) => {
                     log!("servers: no connection to {address}: {problem}");
-                    return inputs.push(Input::Broken(call));
+                    return inputs.push(Input::ConnectionFailed(call));
                 }
             }
         }
@@ -439,7 +439,7 @@
         let out = self.remove(token).and_then(|connection| connection.out);
         if let Some(out) = out.filter(|out| !out.told) {
             self.calls.remove(&out.call);
-            inputs.push(Input::Spoilt(out.call));
+            inputs.push(Input::MalformedAnswer(out.call));
         }
     }
 
@@ -447,7 +447,7 @@
         let Some(connection) = self.remove(token) else { return };
         if let Some(out) = connection.out.filter(|out| !out.told) {
             self.calls.remove(&out.call);
-            inputs.push(Input::Broken(out.call));
+            inputs.push(Input::ConnectionFailed(out.call));
         }
     }
 
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -190,13 +190,13 @@
         .zip(sockets)
         .filter_map(|(one, socket)| servers.follow(poll, one, socket))
         .collect();
-    state.core.out().filter(|call| !followed.contains(call)).for_each(&mut broken);
+    state.core.call_ids().filter(|call| !followed.contains(call)).for_each(&mut broken);
 }
 
 impl Node {
     /// The folder is this process's from now on.
     pub(super) fn possess(&mut self, seat: Option<handover::Seat>) -> Result<(), String> {
-        self.engine.possess();
+        self.engine.claim_journal();
         if let Some(store) = self.store.as_mut().filter(|_| self.unkept) {
             let written = store.write(self.change_service.versions(), || super::change::pass("start"));
             written.map_err(|problem| problem.to_string())?;
@@ -256,7 +256,7 @@
     pub(super) fn hand_over(&mut self, now: Micros) -> bool {
         let Some(asked) = self.follower.as_ref().and_then(|follower| follower.asked) else { return false };
         let settled = !self.reports.are_out() && self.asks.is_empty() && self.reload.is_none();
-        let rest = self.inputs.is_empty() && self.engine.at_rest();
+        let rest = self.inputs.is_empty() && self.engine.is_idle();
         let patient = now < asked.plus(SETTLE);
         if !rest || (patient && !settled) {
             return false;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -71,8 +71,8 @@
         let mut untried = Vec::new();
         for number in 0..42 {
             let id = format!("old{number}");
-            let outputs = engine.turn(ms(1), [offer(&id, KEYED, 3)]);
-            assert_eq!(reply_in(&outputs), Some(Reply::TakenOn));
+            let outputs = engine.step(ms(1), [offer(&id, KEYED, 3)]);
+            assert_eq!(reply_in(&outputs), Some(Reply::Accepted));
             if carried(&outputs).is_empty() {
                 untried.push(id);
             }
@@ -92,13 +92,14 @@
             let results = vec![(0, AttemptOutcome::Delivered, true)];
             inputs.extend([Input::Written(call), Input::Answered { call, results, wait: None }]);
         }
-        let outputs = self.engine.turn(ms(now), inputs);
-        self.rejected += usize::from(matches!(reply_in(&outputs), Some(Reply::TurnDown(_))));
+        let outputs = self.engine.step(ms(now), inputs);
+        self.rejected += usize::from(matches!(reply_in(&outputs), Some(Reply::Rejected(_))));
         let calls = |one: &Output| if let Output::Call { call, .. } = one { Some(*call) } else { None };
         self.out.extend(outputs.iter().filter_map(calls));
         let called = carried(&outputs);
         self.untried.retain(|id| !called.contains(id));
-        let told = |one: &Output| if let Output::Tell { id, .. } = one { Some(text(id)) } else { None };
+        let told =
+            |one: &Output| if let Output::ReportOutcome { id, .. } = one { Some(text(id)) } else { None };
         outputs.iter().filter_map(told).filter(|id| self.untried.contains(id)).collect()
     }
 }
--- a/tests/common/core.rs
+++ b/tests/common/core.rs
@@ -2,8 +2,8 @@
 
 use super::{member, ms, settings, HOME};
 use cedarwharf::config::model::Core;
-use cedarwharf::engine::{Engine, Input, Offer, Output, Reply, Resume};
-use cedarwharf::journal::{End, Space};
+use cedarwharf::engine::{Engine, Input, MessageSubmission, Output, Reply, Resume};
+use cedarwharf::journal::{FinalOutcome, IdScope};
 use cedarwharf::*;
 use std::fs;
 use std::path::PathBuf;
@@ -42,18 +42,18 @@
 }
 
 pub fn offer(id: &str, class: usize, body: usize) -> Input {
-    Input::Offer(Offer {
+    Input::Submission(MessageSubmission {
         token: 1,
         front: 0,
-        space: Space::Tenant,
-        tell_delivered: false,
+        id_scope: IdScope::Tenant,
+        report_delivery: false,
         tenant: 0,
         class,
         destination: HOME,
         id: id.as_bytes().into(),
         key: None,
         time_left: ms(10_000),
-        again: false,
+        resubmitted: false,
         origin: Rc::from(&[][..]),
         body: vec![0; body].into(),
     })
@@ -67,6 +67,12 @@
     outputs.iter().find_map(|out| if let Output::Reply(_, _, reply) = out { Some(*reply) } else { None })
 }
 
-pub fn end_in(outputs: &[Output]) -> Option<End> {
-    outputs.iter().find_map(|out| if let Output::Tell { end, .. } = out { Some(*end) } else { None })
+pub fn end_in(outputs: &[Output]) -> Option<FinalOutcome> {
+    outputs.iter().find_map(|out| {
+        if let Output::ReportOutcome { outcome, .. } = out {
+            Some(*outcome)
+        } else {
+            None
+        }
+    })
 }
--- a/tests/tenancy.rs
+++ b/tests/tenancy.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cedarwharf::engine::{Engine, Input, Offer, Output, Reply};
+use cedarwharf::engine::{Engine, Input, MessageSubmission, Output, Reply};
 use cedarwharf::tenancy::rate::Rate;
 use cedarwharf::tenancy::{Isolation, ShareLimits};
 use cedarwharf::*;
@@ -28,13 +28,13 @@
 fn started(folder: &Folder, told: Settings) -> Engine {
     let mut engine = start_with(&core(told), folder, 1 << 20, 1_000);
     let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
-    engine.turn(ms(1_000), [Input::Entries(ListScope::Whole, list)]);
+    engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     engine
 }
 
 fn offer_of(tenant: usize, destination: DestinationId, class: usize, id: &str) -> Input {
-    let Input::Offer(one) = offer(id, class, 10) else { unreachable!() };
-    Input::Offer(Offer { tenant, destination, time_left: ms(60_000), ..one })
+    let Input::Submission(one) = offer(id, class, 10) else { unreachable!() };
+    Input::Submission(MessageSubmission { tenant, destination, time_left: ms(60_000), ..one })
 }
 
 /// A partner behind each destination that takes so long, and what it was sent.
@@ -86,7 +86,7 @@
                 wait: None,
             });
         }
-        for output in self.engine.turn(ms(self.now), inputs) {
+        for output in self.engine.step(ms(self.now), inputs) {
             match output {
                 Output::Call { call, endpoint, .. } => {
                     let destination = if endpoint.0 < 10 { HOME } else { AWAY };
@@ -97,8 +97,8 @@
                     self.out.remove(&call);
                     self.aborted += 1;
                 }
-                Output::Reply(.., Reply::TakenOn) => self.taken_on += 1,
-                Output::Reply(.., Reply::TurnDown(after)) => {
+                Output::Reply(.., Reply::Accepted) => self.taken_on += 1,
+                Output::Reply(.., Reply::Rejected(after)) => {
                     assert!(after.0 > 0);
                     self.turned_down += 1;
                 }
@@ -135,9 +135,9 @@
     // Payments that are out are not cut for it, and each of the other's was delivered at once.
     assert_eq!((partners.delivered[&AWAY], partners.aborted), (heard, 0));
     assert!(partners.out_at(HOME) >= 6, "what is idle is lent: {}", partners.out_at(HOME));
-    let (counts, _) = partners.engine.tenant(1);
-    assert_eq!((counts.taken_on, counts.turned_down), (u64::from(heard), 0));
-    assert!(partners.engine.tenant(0).0.open >= 60, "and so is the buffer");
+    let (counts, _) = partners.engine.tenant_status(1);
+    assert_eq!((counts.accepted, counts.rejected), (u64::from(heard), 0));
+    assert!(partners.engine.tenant_status(0).0.open >= 60, "and so is the buffer");
 }
 
 #[test]
@@ -196,16 +196,16 @@
     let told = tenants(vec![Isolation { arrivals, ..Isolation::default() }, Isolation::default()]);
     let mut engine = started(&folder, told);
     let mut ask =
-        |at: u64, tenant: usize, id: &str| reply_in(&engine.turn(ms(at), [offer_of(tenant, AWAY, SAFE, id)]));
+        |at: u64, tenant: usize, id: &str| reply_in(&engine.step(ms(at), [offer_of(tenant, AWAY, SAFE, id)]));
     for one in 0..3 {
-        assert_eq!(ask(2_000, 0, &format!("a{one}")), Some(Reply::TakenOn));
+        assert_eq!(ask(2_000, 0, &format!("a{one}")), Some(Reply::Accepted));
     }
-    let Some(Reply::TurnDown(after)) = ask(2_000, 0, "b") else { panic!("taken on") };
+    let Some(Reply::Rejected(after)) = ask(2_000, 0, "b") else { panic!("taken on") };
     assert_eq!(after, ms(100));
     // A repeat of what was taken on is answered, not counted.
-    assert_eq!(ask(2_000, 0, "a0"), Some(Reply::TakenOn));
-    assert_eq!(ask(2_000, 1, "c"), Some(Reply::TakenOn));
-    assert_eq!(ask(2_100, 0, "b"), Some(Reply::TakenOn));
+    assert_eq!(ask(2_000, 0, "a0"), Some(Reply::Accepted));
+    assert_eq!(ask(2_000, 1, "c"), Some(Reply::Accepted));
+    assert_eq!(ask(2_100, 0, "b"), Some(Reply::Accepted));
 }
 
 #[test]
@@ -221,7 +221,7 @@
         });
         partners.step(offers.collect());
     }
-    let delivered = [0, 1].map(|tenant| partners.engine.tenant(tenant).0.delivered);
+    let delivered = [0, 1].map(|tenant| partners.engine.tenant_status(tenant).0.delivered);
     let ratio = delivered[0] as f64 / delivered[1] as f64;
     assert!((0.9..1.1).contains(&ratio), "{delivered:?}");
     let wait = Some(ms(1_000));
@@ -261,9 +261,9 @@
         partners.step(vec![offer_of(0, HOME, UNSAFE, &format!("again{step}"))]);
     }
     assert_eq!(partners.delivered[&HOME], 7);
-    assert_eq!(partners.engine.tenant(0).0.open, 4, "its guarantee, and nothing that is the other's");
+    assert_eq!(partners.engine.tenant_status(0).0.open, 4, "its guarantee, and nothing that is the other's");
     partners.step(vec![offer_of(1, AWAY, UNSAFE, "own")]);
-    assert_eq!(partners.engine.tenant(1).0.taken_on, 2);
+    assert_eq!(partners.engine.tenant_status(1).0.accepted, 2);
 }
 
 /// Ends that a tenant does not take up have bytes of its own; another's messages still find theirs.
@@ -273,13 +273,13 @@
     let told = tenants(vec![Isolation::default(); 2]);
     let mut engine = start_with(&core(told), &folder, 1 << 17, 1_000);
     let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
-    engine.turn(ms(1_000), [Input::Entries(ListScope::Whole, list)]);
+    engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     let (mut now, mut refused) = (1_010, 0);
     let mut offered = |engine: &mut Engine, tenant: usize, destination, id: &str| {
-        let Input::Offer(one) = offer_of(tenant, destination, SAFE, id) else { unreachable!() };
-        let one = Offer { front: 1, tell_delivered: true, ..one };
+        let Input::Submission(one) = offer_of(tenant, destination, SAFE, id) else { unreachable!() };
+        let one = MessageSubmission { front: 1, report_delivery: true, ..one };
         now += 10;
-        let outputs = engine.turn(ms(now), [Input::Offer(one)]);
+        let outputs = engine.step(ms(now), [Input::Submission(one)]);
         for output in &outputs {
             if let Output::Call { call, .. } = output {
                 let answered = Input::Answered {
@@ -287,18 +287,18 @@
                     results: vec![(0, AttemptOutcome::Delivered, true)],
                     wait: None,
                 };
-                engine.turn(ms(now), [Input::Written(*call), answered]);
+                engine.step(ms(now), [Input::Written(*call), answered]);
             }
         }
         reply_in(&outputs)
     };
     for number in 0..2_000 {
-        refused += u32::from(offered(&mut engine, 0, HOME, &format!("a{number}")) != Some(Reply::TakenOn));
+        refused += u32::from(offered(&mut engine, 0, HOME, &format!("a{number}")) != Some(Reply::Accepted));
     }
     assert!(refused > 1_000, "{refused} refused");
     for number in 0..20 {
         let reply = offered(&mut engine, 1, AWAY, &format!("b{number}"));
-        assert_eq!(reply, Some(Reply::TakenOn), "message {number}");
+        assert_eq!(reply, Some(Reply::Accepted), "message {number}");
     }
 }
 
@@ -346,7 +346,7 @@
                 );
             }
             let mut began = Vec::new();
-            for output in engine.turn(ms(now), inputs) {
+            for output in engine.step(ms(now), inputs) {
                 assert!(!matches!(output, Output::Abort(_)), "a call was cut");
                 if let Output::Call { call, items, .. } = output {
                     let tenant = usize::from(items[0].id[0] - b'0');
@@ -355,14 +355,14 @@
                     written.push(Input::Written(call));
                 }
             }
-            let slots = |tenant: usize| engine.shares(tenant)[0];
-            let waits = |tenant: usize| engine.tenant(tenant).0.open > slots(tenant).1;
+            let slots = |tenant: usize| engine.tenant_shares(tenant)[0];
+            let waits = |tenant: usize| engine.tenant_status(tenant).0.open > slots(tenant).1;
             let below =
                 (0..count).find(|&tenant| slots(tenant).1 < slots(tenant).2.guarantee && waits(tenant));
             let above = began.iter().find(|&&tenant| slots(tenant).1 > slots(tenant).2.guarantee);
             assert!(below.is_none() || above.is_none(), "step {step}: {above:?} before {below:?}");
         }
-        let delivered: u64 = (0..count).map(|tenant| engine.tenant(tenant).0.delivered).sum();
+        let delivered: u64 = (0..count).map(|tenant| engine.tenant_status(tenant).0.delivered).sum();
         assert_eq!(delivered, ends);
     }
 }
