--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -49,14 +49,14 @@
     /// What the next process needs beside the journal. An error where the journal does not hold everything, and
     /// cannot be made to.
     pub fn hand_over(&mut self) -> Result<EngineHandover, String> {
-        if self.last_call {
+        if self.calls_stopped {
             // The decisions have not heard of what was answered since: they would wait for it for good.
             return Err("this process is too near its end".to_owned());
         }
-        let (unnamed, memory) = (std::mem::take(&mut self.unnamed), &self.memory);
+        let (unnamed, memory) = (std::mem::take(&mut self.undeclared_names), &self.memory);
         let live = || snapshot(&self.directory, &self.messages, &self.calls, memory, &self.paused);
         if let Err(problem) = self.journal.ensure_written(&unnamed, live) {
-            self.unnamed = unnamed;
+            self.undeclared_names = unnamed;
             return Err(format!("the journal cannot be written: {problem}"));
         }
         let names = |table: &crate::directory::NameTable| {
@@ -98,11 +98,11 @@
         tenants.for_each(|named| directory.tenants.declare(named));
         let mut engine = Engine::from_journal(core, seed, place, now, cached, directory);
         handed.decided.remap_indexes(places);
-        engine.adopt(handed, seed);
+        engine.apply_handover(handed, seed);
         engine
     }
 
-    fn adopt(&mut self, handed: EngineHandover, seed: u64) {
+    fn apply_handover(&mut self, handed: EngineHandover, seed: u64) {
         let EngineHandover { next_message, next_call, calls, decided, .. } = handed;
         let known: BTreeSet<MessageId> = decided.unfinished().collect();
         self.dispatcher = Dispatcher::resume(self.settings.clone(), seed, decided);
@@ -112,7 +112,7 @@
             for (place, item) in one.items.iter().enumerate() {
                 let Some((message, _, until)) = item else { continue };
                 out.insert(*message, one.call);
-                self.waits.insert((*until, one.call, place));
+                self.call_timeouts.insert((*until, one.call, place));
             }
             let leaves_by = one.leaves_by.unwrap_or(Micros(u64::MAX));
             if !one.written {
@@ -123,9 +123,9 @@
         }
         for (number, message) in &mut self.messages {
             // The journal's reader takes an attempt without an outcome for one that may have run; it is still out.
-            let last_unsettled = message.out.take().is_some();
-            message.out = out.get(number).copied();
-            if message.out.is_some() && last_unsettled {
+            let last_unsettled = message.call.take().is_some();
+            message.call = out.get(number).copied();
+            if message.call.is_some() && last_unsettled {
                 message.may_have_run = None;
             }
         }
@@ -135,10 +135,10 @@
         {
             self.events.push(Event::Withdrawn(*number));
         }
-        let ended = self.end_strange();
+        let ended = self.end_messages_with_changed_effect();
         self.events.extend(ended.into_iter().filter(|number| known.contains(number)).map(Event::Withdrawn));
         // What is out here is out, whether the decisions know it or not: never a second attempt beside it.
-        self.resume(|number| known.contains(&number) || out.contains_key(&number));
+        self.restore_messages(|number| known.contains(&number) || out.contains_key(&number));
         self.events.push(Event::Wake);
     }
 }
--- a/src/engine/io.rs
+++ b/src/engine/io.rs
@@ -175,7 +175,7 @@
     /// Attempts so far.
     pub attempts: u32,
     /// An attempt is out.
-    pub out: bool,
+    pub in_flight: bool,
     /// How it ended, where its front is still to be told.
     pub outcome: Option<FinalOutcome>,
     /// Time left.
--- a/src/engine/memory/tests.rs
+++ b/src/engine/memory/tests.rs
@@ -1,41 +1,43 @@
 use super::*;
 use proptest::prelude::*;
 
-fn name(owner: Owner, id: usize) -> Name {
+fn name(owner: Owner, id: usize) -> ScopedId {
     (owner, format!("m{id:06}").into_bytes().into())
 }
 
 #[test]
 fn one_that_ends_much_puts_nothing_of_another_out_of_memory() {
-    let mut memory = Memory::new(10_000);
+    let mut memory = OutcomeMemory::new(10_000);
     let now = Micros(1_000_000);
     (0..20).for_each(|id| memory.add(1, name(1, id), FinalOutcome::Delivered, now));
     (0..5_000)
         .for_each(|id| memory.add(2, name(2, id), FinalOutcome::Delivered, now.plus(Micros(id as u64))));
-    assert!((0..20).all(|id| memory.recall(&name(1, id), now).is_some()));
-    assert!(memory.recall(&name(2, 4_999), now).is_some() && memory.recall(&name(2, 0), now).is_none());
+    assert!((0..20).all(|id| memory.outcome_of(&name(1, id), now).is_some()));
+    assert!(
+        memory.outcome_of(&name(2, 4_999), now).is_some() && memory.outcome_of(&name(2, 0), now).is_none()
+    );
     assert!(memory.bytes() <= 10_000);
     // What is too old goes, whoever's it is.
-    memory.add(2, name(2, 5_000), FinalOutcome::Delivered, now.plus(KEEP));
-    assert!((0..20).all(|id| memory.recall(&name(1, id), now).is_none()));
+    memory.add(2, name(2, 5_000), FinalOutcome::Delivered, now.plus(RETENTION));
+    assert!((0..20).all(|id| memory.outcome_of(&name(1, id), now).is_none()));
 }
 
 proptest! {
     /// The sums are the sums, the bound holds, and what is in order is what can be recalled.
     #[test]
     fn sums_and_orders_are_kept(adds in proptest::collection::vec((0u32..4, 0usize..30, 1u64..20_000_000), 1..200)) {
-        let mut memory = Memory::new(900);
+        let mut memory = OutcomeMemory::new(900);
         let mut now = Micros(0);
         for (owner, id, later) in adds {
             now = now.plus(Micros(later));
             memory.add(owner, name(owner, id), FinalOutcome::Delivered, now);
-            let sum: u64 = memory.of.values().map(|owned| owned.bytes).sum();
-            let each: u64 = memory.of.values().flat_map(|owned| &owned.order).map(|(name, _)| size(name)).sum();
+            let sum: u64 = memory.by_owner.values().map(|owned| owned.bytes).sum();
+            let each: u64 = memory.by_owner.values().flat_map(|owned| &owned.order).map(|(name, _)| size(name)).sum();
             prop_assert_eq!((memory.bytes, memory.bytes), (sum, each));
             prop_assert!(memory.bytes <= 900);
-            prop_assert_eq!((memory.oldest.len(), memory.largest.len()), (memory.of.len(), memory.of.len()));
-            prop_assert_eq!(memory.iter().count(), memory.ends.len());
-            prop_assert!(memory.recall(&name(owner, id), now).is_some());
+            prop_assert_eq!((memory.oldest.len(), memory.largest.len()), (memory.by_owner.len(), memory.by_owner.len()));
+            prop_assert_eq!(memory.iter().count(), memory.outcomes.len());
+            prop_assert!(memory.outcome_of(&name(owner, id), now).is_some());
         }
     }
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -26,21 +26,21 @@
 use crate::{AttemptHistory, AttemptOutcome, MessageId, Micros, Settings};
 use figures::ClassCounts;
 pub use io::{Counts, Input, Item, MessageSubmission, MessageView, Output, Reply};
-use memory::{Memory, Name};
-use records::{kept_names, named_record, needs_report, snapshot};
+use memory::{OutcomeMemory, ScopedId};
+use records::{named_record, names_to_keep, needs_report, snapshot};
 pub use restart::Resume;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::Path;
 use std::rc::Rc;
 
 /// Advice to a client that is turned away before the module is asked.
-const COME_AGAIN: Micros = Micros(500_000);
+const DEFAULT_RETRY_AFTER: Micros = Micros(500_000);
 
 /// A message's time counts from the moment when its client sent it, which is read a little later. An answer that comes so shortly
 /// before its end, by what was read, may be too late for the client, who is owed an end all the same: it is told one, with no
 /// promise about the effect. Where the delivery was in time after all, that word does no harm. Of a class with little time it is a
 /// tenth of that at the most.
-const NEARLY: Micros = Micros(50_000);
+const DEADLINE_MARGIN: Micros = Micros(50_000);
 
 /// Names an offer for the front that made it.
 pub type Token = u64;
@@ -58,7 +58,7 @@
 /// Spaces of fronts lie above all numbers of tenants.
 const FRONT_SCOPES: u32 = 1 << 31;
 /// Where the first format of the journal had them.
-const FIRST_FRONT_SCOPES: u32 = 1 << 16;
+const FORMAT_1_FRONT_SCOPES: u32 = 1 << 16;
 
 /// A flow that is open, or whose end is still to be told.
 struct HeldMessage {
@@ -69,7 +69,7 @@
     attempts: u32,
     may_have_run: Option<(Micros, EndpointId)>,
     /// The call it is out in, and its place there.
-    out: Option<CallId>,
+    call: Option<CallId>,
     outcome: Option<(FinalOutcome, Micros)>,
 }
 
@@ -98,23 +98,23 @@
     directory: Rc<Directory>,
     held_bytes: u64,
     /// What each tenant may hold and offer.
-    intake: AdmissionControl,
+    admission: AdmissionControl,
     journal: Journal,
     /// Names that the journal has not been told yet.
-    unnamed: Vec<Record>,
+    undeclared_names: Vec<Record>,
     /// Flows without an end.
-    open: usize,
+    open_count: usize,
     messages: BTreeMap<MessageId, HeldMessage>,
     /// Ids of the flows above.
-    known: HashMap<Name, MessageId>,
-    memory: Memory,
+    ids: HashMap<ScopedId, MessageId>,
+    memory: OutcomeMemory,
     next_message: u32,
     calls: BTreeMap<CallId, Call>,
     /// Those whose last byte is still to be written, by when that must be: their connections are coming up.
     unwritten: BTreeSet<(Micros, CallId)>,
     next_call: CallId,
     /// When each item of a call is given up: the call, and its place there.
-    waits: BTreeSet<(Micros, CallId, usize)>,
+    call_timeouts: BTreeSet<(Micros, CallId, usize)>,
     destinations: BTreeSet<DestinationId>,
     /// Kind of destination of each endpoint, for the size of its calls.
     kinds: BTreeMap<EndpointId, usize>,
@@ -122,13 +122,13 @@
     records: Vec<Record>,
     outputs: Vec<Output>,
     /// Offers of this turn that the module has not refused.
-    fresh: BTreeMap<MessageId, Token>,
-    live: u64,
+    new_submissions: BTreeMap<MessageId, Token>,
+    live_bytes: u64,
     wake_at: Option<Micros>,
     /// What the journal held and the module has not been told yet; none where it was told all at once.
     replay: Option<Replay>,
     /// No call may begin any more: the module is no longer asked.
-    last_call: bool,
+    calls_stopped: bool,
     paused: BTreeSet<u32>,
     counts: Vec<Counts>,
     /// By class, by place.
@@ -153,7 +153,7 @@
             // The first format knows no names: its numbers are places in the lists as they are now.
             directory.configure(core, None);
         }
-        let kept = kept_names(&records, core);
+        let kept = names_to_keep(&records, core);
         for record in &records {
             if let Record::Named { tenant, number, name } = record {
                 if !kept.contains(&(*tenant, *number)) {
@@ -168,41 +168,41 @@
         let places = directory.tenants.len();
         let mut engine = Engine {
             dispatcher: Dispatcher::new(settings.clone(), seed),
-            memory: Memory::new(journal.max_live_size() / 4),
+            memory: OutcomeMemory::new(journal.max_live_size() / 4),
             settings,
             directory: Rc::new(directory),
             held_bytes: core.held_bytes.unwrap_or(u64::MAX),
-            intake: AdmissionControl::default(),
+            admission: AdmissionControl::default(),
             journal,
-            unnamed: Vec::new(),
-            open: 0,
+            undeclared_names: Vec::new(),
+            open_count: 0,
             messages: BTreeMap::new(),
-            known: HashMap::new(),
+            ids: HashMap::new(),
             next_message: 0,
             calls: BTreeMap::new(),
             unwritten: BTreeSet::new(),
             next_call: 0,
-            waits: BTreeSet::new(),
+            call_timeouts: BTreeSet::new(),
             destinations: BTreeSet::new(),
             kinds: BTreeMap::new(),
             events: Vec::new(),
             records: Vec::new(),
             outputs: Vec::new(),
-            fresh: BTreeMap::new(),
-            live: 0,
+            new_submissions: BTreeMap::new(),
+            live_bytes: 0,
             wake_at: None,
             replay: None,
-            last_call: false,
+            calls_stopped: false,
             paused: BTreeSet::new(),
             counts: vec![Counts::default(); places],
             class_counts: Vec::new(),
             totals: Counts::default(),
             now,
         };
-        engine.part();
-        engine.learn(ListScope::Cached, cached);
+        engine.configure_admission();
+        engine.update_endpoint_records(ListScope::Cached, cached);
         for record in records {
-            engine.replay(record, by_index);
+            engine.apply_record(record, by_index);
         }
         engine
     }
@@ -213,12 +213,12 @@
         let directory = Rc::make_mut(&mut self.directory);
         let (settings, classes, tenants) = directory.configure(core, Some(&self.settings));
         let record = |tenant, named: NumberedName| named_record(tenant, &named);
-        self.unnamed.extend(classes.into_iter().map(|named| record(false, named)));
-        self.unnamed.extend(tenants.into_iter().map(|named| record(true, named)));
+        self.undeclared_names.extend(classes.into_iter().map(|named| record(false, named)));
+        self.undeclared_names.extend(tenants.into_iter().map(|named| record(true, named)));
         self.counts.resize(self.directory.tenants.len(), Counts::default());
         self.held_bytes = core.held_bytes.unwrap_or(u64::MAX);
         self.settings = settings.clone();
-        self.part();
+        self.configure_admission();
         self.events.push(Event::Settings(Box::new(settings)));
     }
 
@@ -233,12 +233,12 @@
     }
 
     /// Parts what can be held among the tenants. Cost: the tenants.
-    fn part(&mut self) {
+    fn configure_admission(&mut self) {
         // Beside what is remembered of ended flows. Not less what names take: a tenant would see others come and go by it.
         let live = self.journal.max_live_size();
         let bytes = self.held_bytes.min(live - live / 4);
         let held = u64::from(self.settings.max_messages);
-        self.intake.configure((held, bytes), &self.settings.isolation);
+        self.admission.configure((held, bytes), &self.settings.isolation);
     }
 
     /// Whether these settings are those in force, for assertions. Cost: the size of the lists.
@@ -277,8 +277,8 @@
     pub fn check_disk_limit(&mut self, disk: u64) -> Result<(), String> {
         let old = self.journal.disk_limit();
         self.journal.set_disk_limit(disk);
-        let live =
-            self.live() - self.memory.bytes() + self.memory.bytes().min(self.journal.max_live_size() / 4);
+        let live = self.total_live_bytes() - self.memory.bytes()
+            + self.memory.bytes().min(self.journal.max_live_size() / 4);
         let fits = live <= self.journal.max_live_size();
         let result = if !fits {
             Err(format!("{live} bytes are live, and {} would be allowed", self.journal.max_live_size()))
@@ -296,13 +296,13 @@
     pub fn set_disk_limit(&mut self, disk: u64) {
         self.journal.set_disk_limit(disk);
         self.memory.set_limit(self.journal.max_live_size() / 4);
-        self.part();
+        self.configure_admission();
     }
 
     /// Bytes that must outlast a compaction, about.
-    fn live(&self) -> u64 {
+    fn total_live_bytes(&self) -> u64 {
         let names = self.directory.classes.bytes() + self.directory.tenants.bytes();
-        self.live + self.memory.bytes() + names
+        self.live_bytes + self.memory.bytes() + names
     }
 
     /// Names, places and numbers.
@@ -318,7 +318,7 @@
     /// Ends that a front is still owed are told again: it was off, and is on now. Cost: the flows held.
     pub fn repeat_reports(&mut self, front: u8) {
         let owed = self.messages.values().filter(|message| message.accepted.front == front);
-        let told = owed.filter_map(|message| Some(tell(message, message.outcome?.0)));
+        let told = owed.filter_map(|message| Some(outcome_report(message, message.outcome?.0)));
         self.outputs.extend(told);
     }
 
@@ -329,34 +329,34 @@
         // Before all else: what has left may have run, whatever else this turn brings.
         let written =
             inputs.iter().filter_map(|one| if let Input::Written(call) = one { Some(*call) } else { None });
-        written.for_each(|call| self.written(call));
+        written.for_each(|call| self.call_written(call));
         for input in inputs {
-            self.take(input);
+            self.handle_input(input);
         }
-        self.expire();
+        self.expire_attempts();
         if self.wake_at.is_some_and(|at| at <= self.now) {
             self.wake_at = None;
             self.events.push(Event::Wake);
         }
-        self.replay_some();
+        self.release_replayed();
         let (mut sends, mut actions) = (Vec::new(), Vec::new());
-        if self.last_call {
+        if self.calls_stopped {
             self.events.clear();
         }
         if !self.events.is_empty() {
             self.dispatcher.handle(self.now, self.events.drain(..), &mut actions);
         }
         for action in actions {
-            self.carry_out(action, &mut sends);
+            self.execute(action, &mut sends);
         }
-        let calls = self.order_calls(sends);
+        let calls = self.group_into_calls(sends);
         self.commit(calls);
         std::mem::take(&mut self.outputs)
     }
 
     /// When the next turn is due though nothing comes in.
     pub fn next_due(&self) -> Option<Micros> {
-        let waits = self.waits.first().map(|&(until, ..)| until);
+        let waits = self.call_timeouts.first().map(|&(until, ..)| until);
         let leaves = self.unwritten.first().map(|&(by, _)| by);
         let soon = (!self.events.is_empty()).then_some(self.now);
         let replay = self.replay.as_ref().and_then(Replay::due);
@@ -371,7 +371,7 @@
 
     /// What a tenant has of what is shared, and may have: call slots, messages held, their bytes. Cost: O(1).
     pub fn tenant_shares(&self, place: usize) -> [(&'static str, u64, Bounds); 3] {
-        let (held, bytes) = self.intake.shares();
+        let (held, bytes) = self.admission.shares();
         [("slots", self.dispatcher.slots()), ("held_messages", held), ("held_bytes", bytes)]
             .map(|(name, shares)| (name, shares.used(place), shares.bounds(place)))
     }
@@ -383,7 +383,7 @@
 
     /// Messages taken and not ended.
     pub fn outstanding(&self) -> usize {
-        self.open
+        self.open_count
     }
 
     /// Listed endpoints that are avoided. Cost: the endpoints listed.
@@ -399,31 +399,31 @@
             class: message.class.unwrap_or(usize::MAX),
             destination: message.accepted.destination,
             attempts: message.attempts,
-            out: message.out.is_some(),
+            in_flight: message.call.is_some(),
             outcome: message.outcome.map(|(outcome, _)| outcome),
             time_left: message.accepted.deadline.minus(self.now),
         })
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Submission(offer) => self.offered(offer),
-            Input::EndpointRecords(scope, members) => self.learn(scope, members),
+            Input::Submission(submission) => self.submit(submission),
+            Input::EndpointRecords(scope, members) => self.update_endpoint_records(scope, members),
             Input::Written(_) => {}
             Input::Answered { call, results, wait } => {
                 let endpoint = self.calls.get(&call).map(|call| call.endpoint);
-                self.left(call);
+                self.remove_unwritten(call);
                 if let (Some(endpoint), Some(wait)) = (endpoint, wait) {
                     self.retry_after(endpoint, wait);
                 }
                 for (place, outcome, over) in results {
-                    self.settle(call, place, outcome, over);
+                    self.end_attempt(call, place, outcome, over);
                 }
             }
             Input::Report(endpoint, report) => self.events.push(Event::Report(endpoint, report)),
             Input::RetryAfter(endpoint, wait) => self.retry_after(endpoint, wait),
-            Input::ConnectionFailed(call) => self.break_off(call, AttemptOutcome::Reset),
-            Input::MalformedAnswer(call) => self.break_off(call, AttemptOutcome::MalformedAnswer),
+            Input::ConnectionFailed(call) => self.end_call(call, AttemptOutcome::Reset),
+            Input::MalformedAnswer(call) => self.end_call(call, AttemptOutcome::MalformedAnswer),
             Input::HoldBack(endpoint, wait) => self.events.push(Event::RetryAfter(endpoint, wait)),
             Input::OutcomeReported(message) => {
                 if self.messages.get(&message).is_some_and(|message| message.outcome.is_some()) {
@@ -433,14 +433,14 @@
             }
             Input::Pause(tenant, paused) => {
                 let tenant = self.directory.tenants.number(tenant);
-                self.replay(Record::Paused { tenant, paused }, false);
+                self.apply_record(Record::Paused { tenant, paused }, false);
                 self.records.push(Record::Paused { tenant, paused });
             }
-            Input::StopCalls => self.last_call = true,
+            Input::StopCalls => self.calls_stopped = true,
         }
     }
 
-    fn learn(&mut self, scope: ListScope, members: Vec<EndpointRecord>) {
+    fn update_endpoint_records(&mut self, scope: ListScope, members: Vec<EndpointRecord>) {
         // Destinations stay: one without endpoints for a while still has its flows taken on. Endpoints do not.
         if matches!(scope, ListScope::Whole | ListScope::Cached) {
             self.kinds.clear();
@@ -469,21 +469,21 @@
     }
 
     /// Counts for a class; what has none stands under none.
-    fn count(&mut self, class: Option<usize>, deed: impl FnOnce(&mut ClassCounts)) {
+    fn count(&mut self, class: Option<usize>, update: impl FnOnce(&mut ClassCounts)) {
         let Some(class) = class else { return };
         if self.class_counts.len() <= class {
             self.class_counts.resize(class + 1, ClassCounts::default());
         }
-        deed(&mut self.class_counts[class]);
+        update(&mut self.class_counts[class]);
     }
 
     /// The end of a flow: into the journal, and to its front in this turn.
     fn end_message(&mut self, number: MessageId, outcome: FinalOutcome) {
         let Some(message) = self.messages.get_mut(&number) else { return };
         if message.outcome.is_none() {
-            self.open -= 1;
+            self.open_count -= 1;
             self.counts[message.tenant].open -= 1;
-            self.intake.remove_message(message.tenant);
+            self.admission.remove_message(message.tenant);
         }
         message.outcome = Some((outcome, self.now));
         if let Some(replay) = &mut self.replay {
@@ -510,29 +510,29 @@
         let before = stored_size(&message.accepted);
         message.accepted.body = Rc::from(&[][..]);
         let rest = before - stored_size(&message.accepted);
-        self.live -= rest;
-        self.intake.release_bytes(message.tenant, rest);
+        self.live_bytes -= rest;
+        self.admission.release_bytes(message.tenant, rest);
         if needs_report(&message.accepted, outcome) {
-            self.outputs.push(tell(message, outcome));
+            self.outputs.push(outcome_report(message, outcome));
         } else {
             self.drop_message(number);
         }
     }
 
-    fn carry_out(&mut self, action: Action, sends: &mut Vec<Attempt>) {
+    fn execute(&mut self, action: Action, sends: &mut Vec<Attempt>) {
         match action {
             Action::Send { id, endpoint, timeout, leaves_by } => {
                 sends.push(Attempt { endpoint, id, timeout, leaves_by });
             }
             Action::Cancel { id, attempt } => {
                 let call = self.messages.get(&id).filter(|message| message.attempts == attempt + 1);
-                if let Some(call) = call.and_then(|message| message.out) {
+                if let Some(call) = call.and_then(|message| message.call) {
                     self.outputs.push(Output::Abort(call));
-                    self.break_off(call, AttemptOutcome::Cancelled);
+                    self.end_call(call, AttemptOutcome::Cancelled);
                 }
             }
-            Action::Reject { id, retry_after } => self.give_up(id, FinalOutcome::Deferred(retry_after)),
-            Action::Fail(id) => self.give_up(id, FinalOutcome::Undeliverable),
+            Action::Reject { id, retry_after } => self.reject_or_end(id, FinalOutcome::Deferred(retry_after)),
+            Action::Fail(id) => self.reject_or_end(id, FinalOutcome::Undeliverable),
             Action::WakeIn(delay) => {
                 let at = self.now.plus(delay);
                 self.wake_at = Some(self.wake_at.map_or(at, |known| known.min(at)));
@@ -545,10 +545,10 @@
 
     /// Writes this turn's records before anything that they vouch for leaves. What cannot be written is not done.
     fn commit(&mut self, calls: Vec<CallId>) {
-        let fresh = std::mem::take(&mut self.fresh);
+        let fresh = std::mem::take(&mut self.new_submissions);
         let accepted =
             fresh.keys().filter_map(|id| Some(Record::Accepted(self.messages.get(id)?.accepted.clone())));
-        let mut records: Vec<Record> = self.unnamed.iter().cloned().chain(accepted).collect();
+        let mut records: Vec<Record> = self.undeclared_names.iter().cloned().chain(accepted).collect();
         records.append(&mut self.records);
         if !records.is_empty() {
             let (directory, messages, calls_out) = (&self.directory, &self.messages, &self.calls);
@@ -557,9 +557,9 @@
             let written = self.journal.commit(&records, live);
             if let Err(problem) = written {
                 self.outputs.push(Output::Log(format!("journal not written: {problem}")));
-                return self.take_back(fresh, calls);
+                return self.revert_iteration(fresh, calls);
             }
-            self.unnamed.clear();
+            self.undeclared_names.clear();
         }
         let mut replies = Vec::new();
         for (id, token) in fresh {
@@ -587,11 +587,11 @@
     }
 }
 
-fn name(accepted: &AcceptedMessage) -> Name {
+fn scoped_id(accepted: &AcceptedMessage) -> ScopedId {
     (id_scope_number(accepted.id_scope, accepted.tenant, accepted.front), accepted.id.clone())
 }
 
-fn tell(message: &HeldMessage, outcome: FinalOutcome) -> Output {
+fn outcome_report(message: &HeldMessage, outcome: FinalOutcome) -> Output {
     let AcceptedMessage { message: number, front, id, origin, .. } = &message.accepted;
     let (id, origin) = (id.clone(), origin.clone());
     Output::ReportOutcome { message: *number, front: *front, tenant: message.tenant, id, origin, outcome }
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -5,7 +5,7 @@
 
 /// The names that a start goes on with: those of the configuration, those that flows go by, and of each kind the last
 /// that was given a number, so that none is given again. All others are forgotten here, as nowhere else.
-pub(super) fn kept_names(records: &[Record], core: &Core) -> BTreeSet<(bool, u32)> {
+pub(super) fn names_to_keep(records: &[Record], core: &Core) -> BTreeSet<(bool, u32)> {
     let mut kept = BTreeSet::new();
     let (mut last, mut configured) = ([None; 2], BTreeSet::new());
     configured.extend(core.classes.iter().map(|name| (false, name.as_bytes())));
@@ -51,7 +51,7 @@
     directory: &Directory,
     messages: &BTreeMap<MessageId, HeldMessage>,
     calls: &BTreeMap<CallId, Call>,
-    memory: &Memory,
+    memory: &OutcomeMemory,
     paused: &BTreeSet<u32>,
 ) -> Vec<Record> {
     let mut records: Vec<Record> =
@@ -59,7 +59,7 @@
     records.extend(directory.tenants.iter().map(|(named, _)| named_record(true, named)));
     let remembered = memory.iter();
     records.extend(remembered.map(|(owner, (id_scope, id), outcome, at)| Record::Remembered {
-        owner: (owner != memory::NOBODY).then_some(owner),
+        owner: (owner != memory::NO_OWNER).then_some(owner),
         id_scope: *id_scope,
         id: id.clone(),
         at,
@@ -67,7 +67,7 @@
     }));
     records.extend(paused.iter().map(|&tenant| Record::Paused { tenant, paused: true }));
     for (&number, message) in messages {
-        let out = message.out.and_then(|call| calls.get(&call));
+        let out = message.call.and_then(|call| calls.get(&call));
         let attempts = message.attempts - u32::from(out.is_some());
         records.push(Record::Accepted(message.accepted.clone()));
         if message.attempts > 0 {
--- a/src/engine/restart.rs
+++ b/src/engine/restart.rs
@@ -22,8 +22,8 @@
         resume: Resume,
     ) -> Engine {
         let mut engine = Engine::from_journal(core, seed, place, now, cached, Directory::default());
-        engine.messages.values_mut().for_each(|message| message.out = None);
-        engine.end_strange();
+        engine.messages.values_mut().for_each(|message| message.call = None);
+        engine.end_messages_with_changed_effect();
         // What may have run is decided on at once, what never ran may wait.
         let waits = |message: &HeldMessage| {
             resume == Resume::Paced && message.outcome.is_none() && message.may_have_run.is_none()
@@ -37,10 +37,10 @@
             })
             .collect();
         let behind: BTreeSet<MessageId> = held.iter().map(|one| one.2).collect();
-        engine.resume(|number| behind.contains(&number));
+        engine.restore_messages(|number| behind.contains(&number));
         engine.replay = (!held.is_empty()).then(|| Replay::new(engine.now, seed ^ now.0, held.into_iter()));
         if !engine.messages.is_empty() {
-            let (open, owed) = (engine.open, engine.messages.len() - engine.open);
+            let (open, owed) = (engine.open_count, engine.messages.len() - engine.open_count);
             engine
                 .outputs
                 .push(Output::Log(format!("journal replayed: {open} flows open, {owed} ends owed")));
@@ -49,23 +49,23 @@
         engine
     }
 
-    pub(super) fn replay(&mut self, record: Record, by_index: bool) {
+    pub(super) fn apply_record(&mut self, record: Record, by_index: bool) {
         match record {
             Record::Accepted(accepted) => {
                 self.next_message = self.next_message.max(accepted.message.0.wrapping_add(1));
-                self.open(accepted);
+                self.add_message(accepted);
             }
             Record::Sent { message, at, endpoint } => {
                 if let Some(message) = self.messages.get_mut(&message) {
                     message.attempts += 1;
-                    message.out = message.may_have_run.is_none().then_some(0);
+                    message.call = message.may_have_run.is_none().then_some(0);
                     message.may_have_run.get_or_insert((at, endpoint));
                 }
             }
             Record::NeverRan(message) => {
                 if let Some(message) = self.messages.get_mut(&message) {
                     // Only the attempt that set it can take it back.
-                    if message.out.take().is_some() {
+                    if message.call.take().is_some() {
                         message.may_have_run = None;
                     }
                 }
@@ -78,9 +78,9 @@
             Record::Ended { message, at, outcome } => {
                 if let Some(message) = self.messages.get_mut(&message) {
                     if message.outcome.is_none() {
-                        self.open -= 1;
+                        self.open_count -= 1;
                         self.counts[message.tenant].open -= 1;
-                        self.intake.remove_message(message.tenant);
+                        self.admission.remove_message(message.tenant);
                     }
                     message.outcome = Some((outcome, at));
                     if !needs_report(&message.accepted, outcome) {
@@ -91,10 +91,10 @@
             }
             Record::Reported(message) => self.drop_message(message),
             Record::Remembered { owner, id_scope, id, at, outcome } => {
-                let first = by_index && id_scope & FIRST_FRONT_SCOPES != 0;
-                let id_scope = if first { id_scope ^ FIRST_FRONT_SCOPES | FRONT_SCOPES } else { id_scope };
+                let first = by_index && id_scope & FORMAT_1_FRONT_SCOPES != 0;
+                let id_scope = if first { id_scope ^ FORMAT_1_FRONT_SCOPES | FRONT_SCOPES } else { id_scope };
                 // A tenant's space is its number; whose an end in a front's space was, an older journal does not tell.
-                let of_scope = if id_scope < FRONT_SCOPES { id_scope } else { memory::NOBODY };
+                let of_scope = if id_scope < FRONT_SCOPES { id_scope } else { memory::NO_OWNER };
                 let owner = owner.unwrap_or(of_scope);
                 self.memory.add(owner, (id_scope, id), outcome, at);
             }
@@ -123,7 +123,7 @@
 
     /// After the replay: ends the flows whose settings have changed since. Under another effect, what may have run could be
     /// sent a second time.
-    pub(super) fn end_strange(&mut self) -> Vec<MessageId> {
+    pub(super) fn end_messages_with_changed_effect(&mut self) -> Vec<MessageId> {
         let told = |class: Option<usize>| self.settings.classes.get(class?).map(|c| effect_code(c.effect));
         let strange = |message: &&HeldMessage| {
             message.outcome.is_none() && told(message.class) != Some(message.accepted.effect)
@@ -134,10 +134,10 @@
             let ran = self
                 .messages
                 .get(&number)
-                .is_some_and(|message| message.may_have_run.is_some() || message.out.is_some());
+                .is_some_and(|message| message.may_have_run.is_some() || message.call.is_some());
             self.end_message(
                 number,
-                if ran { FinalOutcome::Undeliverable } else { FinalOutcome::Deferred(COME_AGAIN) },
+                if ran { FinalOutcome::Undeliverable } else { FinalOutcome::Deferred(DEFAULT_RETRY_AFTER) },
             );
         }
         // All ends that are owed, these too, are told below.
@@ -146,12 +146,12 @@
     }
 
     /// Hands open flows to the module, but those that it knows, and the ends that are owed to their fronts.
-    pub(super) fn resume(&mut self, known: impl Fn(MessageId) -> bool) {
+    pub(super) fn restore_messages(&mut self, known: impl Fn(MessageId) -> bool) {
         for (&number, message) in &self.messages {
             if let Some((outcome, _)) = message.outcome {
-                self.outputs.push(tell(message, outcome));
+                self.outputs.push(outcome_report(message, outcome));
             } else if !known(number) {
-                self.events.push(restored(number, message, self.now));
+                self.events.push(restored_event(number, message, self.now));
             }
         }
     }
@@ -170,12 +170,12 @@
     }
 
     /// Hands the module what is due of what the journal held.
-    pub(super) fn replay_some(&mut self) {
+    pub(super) fn release_replayed(&mut self) {
         let Some(replay) = &mut self.replay else { return };
         for number in replay.release(self.now) {
             // It may have ended meanwhile: nobody wanted it any more.
             let message = self.messages.get(&number).filter(|message| message.outcome.is_none());
-            self.events.extend(message.map(|message| restored(number, message, self.now)));
+            self.events.extend(message.map(|message| restored_event(number, message, self.now)));
         }
         if self.replay.as_ref().is_some_and(Replay::over) {
             self.replay = None;
@@ -184,7 +184,7 @@
 }
 
 /// A flow of the journal for the module.
-fn restored(number: MessageId, message: &HeldMessage, now: Micros) -> Event {
+fn restored_event(number: MessageId, message: &HeldMessage, now: Micros) -> Event {
     let handed_in = Submission {
         destination: DestinationId(message.accepted.destination),
         time_left: message.accepted.deadline.minus(now),
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -375,7 +375,7 @@
                 Some(FinalOutcome::Delivered) => "delivered",
                 Some(FinalOutcome::Deferred(_)) => "deferred",
                 Some(_) => "undeliverable",
-                None if flow.out => "out",
+                None if flow.in_flight => "out",
                 None => "held",
             };
             format!(
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -736,7 +736,10 @@
     let results = vec![(0, AttemptOutcome::Delivered, true), (1, AttemptOutcome::Delivered, true)];
     let late = engine.step(ms(4_010), [Input::Answered { call, results, wait: None }]);
     let long = engine.messages().find(|flow| &flow.id[..] == b"long").expect("it is still owed an end");
-    assert!(!long.out && long.outcome.is_none() && end_in(&late).is_none(), "nothing of it is out: {late:?}");
+    assert!(
+        !long.in_flight && long.outcome.is_none() && end_in(&late).is_none(),
+        "nothing of it is out: {late:?}"
+    );
 }
 
 /// Three share a call whose connection is slow to come up; the time of one is over before it is. What was given up must not
