--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -1,5 +1,5 @@
-//! Submissions: what is answered without the decisions, what is opened as a message, and how a rejection or an iteration
-//! that cannot be written is taken back.
+//! Admission of submissions: which are answered without the dispatcher, which become messages, and how a
+//! rejection or an iteration that cannot be written to the journal is undone.
 
 use super::*;
 
@@ -16,7 +16,7 @@
         }
     }
 
-    /// What an offer hears at once, without the module; `None` where the module is to be asked.
+    /// The reply to a submission that the engine decides on its own; `None` if the dispatcher has to decide.
     pub(super) fn admit(&mut self, submission: MessageSubmission) -> Option<Reply> {
         let unknown = !self.directory.classes.is_active(submission.class)
             || !self.directory.tenants.is_active(submission.tenant)
@@ -24,17 +24,18 @@
         if unknown {
             return Some(Reply::Unknown);
         }
-        // A journal of before ids had spaces knows all of them by tenant.
+        // Journals written before ids had scopes have all ids in the scope of their tenant.
         let tenant = self.directory.tenants.number(submission.tenant);
         for scope in [id_scope_number(submission.id_scope, tenant, submission.front), tenant] {
             let name = (scope, submission.id.clone());
             if let Some(message) = self.ids.get(&name).and_then(|number| self.messages.get(number)) {
-                // A client repeats what it handed in; whoever means something else by that id is another.
-                let same = (message.accepted.tenant, message.class, message.accepted.destination)
+                // A repeat has the same tenant, class and destination. Any other submission with this id is a
+                // conflict.
+                let is_repeat = (message.accepted.tenant, message.class, message.accepted.destination)
                     == (tenant, Some(submission.class), submission.destination.0);
                 let reply =
                     message.outcome.map_or(Reply::Accepted, |(outcome, _)| Reply::AlreadyEnded(outcome));
-                return Some(if same { reply } else { Reply::IdConflict });
+                return Some(if is_repeat { reply } else { Reply::IdConflict });
             }
             if let Some(outcome) = self.memory.outcome_of(&name, self.now) {
                 return Some(Reply::AlreadyEnded(outcome));
@@ -58,23 +59,24 @@
         let full = self.open_count >= self.settings.max_messages as usize
             || self.live_bytes + stored_size(&accepted) > self.held_bytes
             || self.total_live_bytes() + stored_size(&accepted) > self.journal.max_live_size();
-        let parted = if self.paused.contains(&tenant) {
+        let admission = if self.paused.contains(&tenant) {
             Err(AdmissionError::NoCapacity(ShareError::CeilingReached))
         } else {
             self.admission.admit(submission.tenant, stored_size(&accepted), !full, self.now)
         };
-        if let Err(shut) = parted {
+        if let Err(error) = admission {
             self.counts[submission.tenant].rejected += 1;
             self.totals.rejected += 1;
             self.count(Some(submission.class), |figures| figures.declined += 1);
-            let wait = if let AdmissionError::RateExceeded(wait) = shut { wait } else { DEFAULT_RETRY_AFTER };
+            let wait =
+                if let AdmissionError::RateExceeded(wait) = error { wait } else { DEFAULT_RETRY_AFTER };
             return Some(Reply::Rejected(wait));
         }
         self.next_message = self.next_message.wrapping_add(1);
         if let Some(replay) = &mut self.replay {
             replay.fresh(submission.destination, accepted.message);
         }
-        let handed_in = Submission {
+        let message = Submission {
             destination: submission.destination,
             time_left: submission.time_left,
             class: submission.class,
@@ -82,7 +84,7 @@
             tenant: submission.tenant,
             resubmitted: submission.resubmitted,
         };
-        self.events.push(Event::Message(accepted.message, handed_in));
+        self.events.push(Event::Message(accepted.message, message));
         self.add_message(accepted);
         None
     }
@@ -90,9 +92,10 @@
     pub(super) fn add_message(&mut self, accepted: AcceptedMessage) {
         let class = self.directory.classes.index_of(accepted.class);
         let tenant = match self.directory.tenants.index_of(accepted.tenant) {
-            Some(place) => place,
+            Some(index) => index,
             None => {
-                // A journal may go by a number whose name is lost: it gets a place that nothing is taken on for.
+                // The journal may refer to a number whose name is lost. It gets an index for which nothing is
+                // accepted.
                 let directory = Rc::make_mut(&mut self.directory);
                 let name = format!("(number {})", accepted.tenant);
                 directory.tenants.declare(NumberedName { number: accepted.tenant, name });
@@ -131,7 +134,7 @@
         }
     }
 
-    /// The module ends a flow: an offer of this turn is turned down, an older flow is told its end.
+    /// The dispatcher gives a message up: a submission of this iteration is rejected, an older message ends.
     pub(super) fn reject_or_end(&mut self, id: MessageId, outcome: FinalOutcome) {
         let Some(token) = self.new_submissions.remove(&id) else { return self.end_message(id, outcome) };
         let retry_after =
@@ -149,16 +152,17 @@
         self.drop_message(id);
     }
 
-    /// The journal could not be written: offers are turned down, and calls not begun.
-    pub(super) fn revert_iteration(&mut self, fresh: BTreeMap<MessageId, Token>, calls: Vec<CallId>) {
+    /// Undoes an iteration whose records could not be written: rejects its submissions and ends its calls
+    /// unsent.
+    pub(super) fn revert_iteration(&mut self, submissions: BTreeMap<MessageId, Token>, calls: Vec<CallId>) {
         for number in calls {
-            let places = self.calls.get(&number).map_or(0, |call| call.items.len());
-            for place in 0..places {
-                self.end_attempt(number, place, AttemptOutcome::NotSent, false);
+            let item_count = self.calls.get(&number).map_or(0, |call| call.items.len());
+            for index in 0..item_count {
+                self.end_attempt(number, index, AttemptOutcome::NotSent, false);
             }
         }
         self.records.clear();
-        for (id, token) in fresh {
+        for (id, token) in submissions {
             self.events.push(Event::Withdrawn(id));
             self.reject(id, token, DEFAULT_RETRY_AFTER);
         }
--- a/src/engine/handover.rs
+++ b/src/engine/handover.rs
@@ -1,144 +1,153 @@
-//! What the core of a process hands to the core of the one that follows, beside the journal: the calls that are out, and
-//! what the decisions go by. The journal tells the rest: it holds all flows as of the last turn.
+//! State that the engine hands over to its successor process beside the journal: the calls in progress and
+//! the state of the dispatcher. The rest is in the journal, which holds all messages as of the last loop
+//! iteration.
 
 use super::*;
 use crate::{DispatcherState, IndexMapping};
 use serde::{Deserialize, Serialize};
 
-/// A call that is out.
+/// A call in progress.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Out {
+struct CallInProgress {
     call: CallId,
     endpoint: EndpointId,
     written: bool,
     sent_at: Micros,
-    /// Told by none that was handed over by a version before this.
+    /// Absent in a handover from an older version.
     #[serde(default)]
     leaves_by: Option<Micros>,
-    /// Each flow, its attempt, and until when it is waited for; absent where settled.
+    /// The message, the attempt's number and its time-out, for each item; `None` once the attempt has ended.
     items: Vec<Option<(MessageId, u32, Micros)>>,
 }
 
-/// See the module's text.
+/// The state handed over. See the [module documentation](self).
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineHandover {
-    /// Numbers and names of classes and of tenants, by place.
+    /// Numbers and names of classes and of tenants, by index.
     classes: Vec<(u32, String)>,
     tenants: Vec<(u32, String)>,
     #[serde(rename = "next_flow")]
     next_message: u32,
     next_call: CallId,
-    calls: Vec<Out>,
-    decided: DispatcherState,
+    calls: Vec<CallInProgress>,
+    #[serde(rename = "decided")]
+    dispatcher: DispatcherState,
 }
 
 impl EngineHandover {
-    /// The calls that are out.
+    /// Ids of the calls in progress.
     pub fn call_ids(&self) -> impl Iterator<Item = CallId> + '_ {
-        self.calls.iter().map(|out| out.call)
+        self.calls.iter().map(|one| one.call)
     }
 }
 
 impl Engine {
-    /// Nothing of this turn is left over: what is handed over now is whole.
+    /// Whether no event, output or record of the last iteration is pending, so that a handover now is
+    /// complete.
     pub fn is_idle(&self) -> bool {
         self.events.is_empty() && self.outputs.is_empty() && self.records.is_empty()
     }
 
-    /// What the next process needs beside the journal. An error where the journal does not hold everything, and
-    /// cannot be made to.
+    /// The state that the successor needs beside the journal. Fails if the journal does not hold all records
+    /// and they cannot be written.
     pub fn hand_over(&mut self) -> Result<EngineHandover, String> {
         if self.calls_stopped {
-            // The decisions have not heard of what was answered since: they would wait for it for good.
-            return Err("this process is too near its end".to_owned());
+            // The dispatcher has not processed the answers since then: the successor would wait for them
+            // forever.
+            return Err("this process is about to end and starts no more calls".to_owned());
         }
-        let (unnamed, memory) = (std::mem::take(&mut self.undeclared_names), &self.memory);
+        let (undeclared, memory) = (std::mem::take(&mut self.undeclared_names), &self.memory);
         let live = || snapshot(&self.directory, &self.messages, &self.calls, memory, &self.paused);
-        if let Err(problem) = self.journal.ensure_written(&unnamed, live) {
-            self.undeclared_names = unnamed;
+        if let Err(problem) = self.journal.ensure_written(&undeclared, live) {
+            self.undeclared_names = undeclared;
             return Err(format!("the journal cannot be written: {problem}"));
         }
         let names = |table: &crate::directory::NameTable| {
             table.iter().map(|(named, _)| (named.number, named.name.clone())).collect()
         };
-        let out = |(&call, out): (&CallId, &Call)| Out {
-            call,
-            endpoint: out.endpoint,
-            written: out.written,
-            sent_at: out.sent_at,
-            leaves_by: Some(out.leaves_by),
-            items: out.items.clone(),
+        let in_progress = |(&id, call): (&CallId, &Call)| CallInProgress {
+            call: id,
+            endpoint: call.endpoint,
+            written: call.written,
+            sent_at: call.sent_at,
+            leaves_by: Some(call.leaves_by),
+            items: call.items.clone(),
         };
         Ok(EngineHandover {
             classes: names(&self.directory.classes),
             tenants: names(&self.directory.tenants),
             next_message: self.next_message,
             next_call: self.next_call,
-            calls: self.calls.iter().map(out).collect(),
-            decided: self.dispatcher.snapshot(),
+            calls: self.calls.iter().map(in_progress).collect(),
+            dispatcher: self.dispatcher.snapshot(),
         })
     }
 
-    /// Goes on with what another process hands over; `places` tells where its kinds and zones stand here. Writes nothing yet:
-    /// see [`Engine::claim_journal`].
+    /// Builds an engine from the state that the predecessor hands over. `indexes` maps the predecessor's
+    /// kinds and zones to those of this process. Writes nothing yet: see [`Engine::claim_journal`].
     pub fn resume_handover(
         core: &Core,
         seed: u64,
-        place: (&Path, u64),
+        folder: (&Path, u64),
         now: Micros,
         cached: Vec<EndpointRecord>,
-        (mut handed, places): (EngineHandover, &IndexMapping),
+        (mut handover, indexes): (EngineHandover, &IndexMapping),
     ) -> Engine {
-        // Places are the same as there: the decisions go by them.
+        // Names get the predecessor's indices, which the dispatcher's state refers to.
         let mut directory = Directory::default();
-        let classes = handed.classes.drain(..).map(|(number, name)| NumberedName { number, name });
+        let classes = handover.classes.drain(..).map(|(number, name)| NumberedName { number, name });
         classes.for_each(|named| directory.classes.declare(named));
-        let tenants = handed.tenants.drain(..).map(|(number, name)| NumberedName { number, name });
+        let tenants = handover.tenants.drain(..).map(|(number, name)| NumberedName { number, name });
         tenants.for_each(|named| directory.tenants.declare(named));
-        let mut engine = Engine::from_journal(core, seed, place, now, cached, directory);
-        handed.decided.remap_indexes(places);
-        engine.apply_handover(handed, seed);
+        let mut engine = Engine::from_journal(core, seed, folder, now, cached, directory);
+        handover.dispatcher.remap_indexes(indexes);
+        engine.apply_handover(handover, seed);
         engine
     }
 
-    fn apply_handover(&mut self, handed: EngineHandover, seed: u64) {
-        let EngineHandover { next_message, next_call, calls, decided, .. } = handed;
-        let known: BTreeSet<MessageId> = decided.unfinished().collect();
-        self.dispatcher = Dispatcher::resume(self.settings.clone(), seed, decided);
+    fn apply_handover(&mut self, handover: EngineHandover, seed: u64) {
+        let EngineHandover { next_message, next_call, calls, dispatcher, .. } = handover;
+        let known_messages: BTreeSet<MessageId> = dispatcher.unfinished().collect();
+        self.dispatcher = Dispatcher::resume(self.settings.clone(), seed, dispatcher);
         (self.next_message, self.next_call) = (next_message, next_call);
-        let mut out = BTreeMap::new();
+        let mut calls_by_message = BTreeMap::new();
         for one in calls {
-            for (place, item) in one.items.iter().enumerate() {
+            for (index, item) in one.items.iter().enumerate() {
                 let Some((message, _, until)) = item else { continue };
-                out.insert(*message, one.call);
-                self.call_timeouts.insert((*until, one.call, place));
+                calls_by_message.insert(*message, one.call);
+                self.call_timeouts.insert((*until, one.call, index));
             }
             let leaves_by = one.leaves_by.unwrap_or(Micros(u64::MAX));
             if !one.written {
                 self.unwritten.insert((leaves_by, one.call));
             }
-            let Out { endpoint, written, sent_at, items, .. } = one;
+            let CallInProgress { endpoint, written, sent_at, items, .. } = one;
             self.calls.insert(one.call, Call { endpoint, written, sent_at, leaves_by, items });
         }
         for (number, message) in &mut self.messages {
-            // The journal's reader takes an attempt without an outcome for one that may have run; it is still out.
-            let last_unsettled = message.call.take().is_some();
-            message.call = out.get(number).copied();
-            if message.call.is_some() && last_unsettled {
+            // The replay treats an attempt without an outcome as one that may have run. If its call is still
+            // in progress, that does not apply.
+            let was_unsettled = message.call.take().is_some();
+            message.call = calls_by_message.get(number).copied();
+            if message.call.is_some() && was_unsettled {
                 message.may_have_run = None;
             }
         }
-        for number in known
+        for number in known_messages
             .iter()
             .filter(|number| self.messages.get(number).is_none_or(|message| message.outcome.is_some()))
         {
             self.events.push(Event::Withdrawn(*number));
         }
         let ended = self.end_messages_with_changed_effect();
-        self.events.extend(ended.into_iter().filter(|number| known.contains(number)).map(Event::Withdrawn));
-        // What is out here is out, whether the decisions know it or not: never a second attempt beside it.
-        self.restore_messages(|number| known.contains(&number) || out.contains_key(&number));
+        self.events
+            .extend(ended.into_iter().filter(|number| known_messages.contains(number)).map(Event::Withdrawn));
+        // A message in a call must not get a second attempt, even if the dispatcher's state does not contain
+        // it.
+        self.restore_messages(|number| {
+            known_messages.contains(&number) || calls_by_message.contains_key(&number)
+        });
         self.events.push(Event::Wake);
     }
 }
--- a/src/engine/io.rs
+++ b/src/engine/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it, in terms that no wire is known by.
+//! Inputs and outputs of the engine, independent of any protocol.
 
 use super::{CallId, Token};
 use crate::journal::{FinalOutcome, IdScope};
@@ -6,20 +6,20 @@
 use crate::{AttemptOutcome, DestinationId, EndpointId, EndpointRecord, ListScope, MessageId, Micros};
 use std::rc::Rc;
 
-/// A flow handed in at a front.
+/// A message submitted at a front.
 #[derive(Clone, Debug)]
 pub struct MessageSubmission {
-    /// Comes back with the reply.
+    /// Returned with the reply.
     pub token: Token,
     /// The front.
     pub front: u8,
-    /// Within what its id is its own.
+    /// The scope in which its id is unique.
     pub id_scope: IdScope,
-    /// Whether a delivery shall be told too.
+    /// Whether a delivery is reported, too.
     pub report_delivery: bool,
-    /// Tenant, by place: see [`crate::directory::Directory`].
+    /// Tenant, by index: see [`crate::directory::Directory`].
     pub tenant: usize,
-    /// Class, by place.
+    /// Class, by index.
     pub class: usize,
     /// Destination.
     pub destination: DestinationId,
@@ -27,55 +27,56 @@
     pub id: Rc<[u8]>,
     /// Its idempotency key.
     pub key: Option<Rc<[u8]>>,
-    /// How long it may still be delivered.
+    /// Time in which it may still be delivered.
     pub time_left: Micros,
-    /// It was handed in before.
+    /// It was submitted before.
     pub resubmitted: bool,
-    /// What the front needs to tell the end.
+    /// Data that the front needs to report the final outcome.
     pub origin: Rc<[u8]>,
-    /// What is delivered.
+    /// The payload.
     pub body: Rc<[u8]>,
 }
 
-/// What comes in.
+/// An input of the engine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A flow is handed in.
+    /// A message is submitted.
     Submission(MessageSubmission),
-    /// News of the list of service entries.
+    /// Changes of the endpoint records, or a whole list.
     EndpointRecords(ListScope, Vec<EndpointRecord>),
     /// The last byte of a call has been written.
     Written(CallId),
-    /// A call, or some of it, has been answered: places in the order, with their outcomes, and whether the flow
-    /// is over. `wait` binds whatever the outcomes are.
+    /// A call, or a part of it, was answered.
     Answered {
         /// The call.
         call: CallId,
-        /// Place in the order, outcome, over.
+        /// For each answered item: its index in the call, its outcome, and whether the endpoint closed the
+        /// message, so that it needs no further attempt.
         results: Vec<(usize, AttemptOutcome, bool)>,
-        /// Nothing may be sent there for so long.
+        /// Retry-after of the endpoint. Applies whatever the outcomes are.
         wait: Option<Micros>,
     },
-    /// An endpoint's answer told of a limit; comes before what became of its call.
+    /// The load report in an endpoint's answer. Comes before the outcome of the call.
     Report(EndpointId, Report),
-    /// An endpoint's answer told to wait, in a head of which not all has come: it binds from then on, whatever becomes of
-    /// the answer and of its call.
+    /// A retry-after in the head of an answer that has not arrived completely. It applies at once, whatever
+    /// happens to the rest of the answer and to the call.
     RetryAfter(EndpointId, Micros),
-    /// The connection of a call broke, or never came up.
+    /// The connection of a call broke, or could not be opened.
     ConnectionFailed(CallId),
-    /// The answer to a call cannot be read, or does not end.
+    /// The answer to a call is malformed, or does not end.
     MalformedAnswer(CallId),
-    /// The front has told an end.
+    /// The front has delivered the report of a final outcome.
     OutcomeReported(MessageId),
-    /// Nothing goes to a destination for so long, though it told no wait itself: many start (see `startup::ramp`).
+    /// Nothing is sent to an endpoint for this time, although it gave no retry-after: many forwarders start
+    /// at once (see `startup::ramp`).
     HoldBack(EndpointId, Micros),
-    /// A tenant is turned down from now on, or no longer.
+    /// The submissions of a tenant are rejected from now on, or no longer.
     Pause(usize, bool),
-    /// No call may begin any more: the process is near its end.
+    /// No further call may start: the process is about to end.
     StopCalls,
 }
 
-/// One flow in an ordered call.
+/// One message in an ordered call.
 #[derive(Clone, Debug)]
 pub struct Item {
     /// Its id at the client.
@@ -84,48 +85,48 @@
     pub key: Option<Rc<[u8]>>,
     /// Its class, by index.
     pub class: usize,
-    /// What is delivered.
+    /// The payload.
     pub body: Rc<[u8]>,
 }
 
-/// What an offer hears.
+/// The reply to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Taken on, and in the journal.
+    /// Accepted, and in the journal.
     Accepted,
-    /// Turned down; handing it in again after so long is harmless.
+    /// Rejected; it may safely be submitted again after this time.
     Rejected(Micros),
-    /// It is a repeat of a flow that has ended.
+    /// It repeats a message that has ended.
     AlreadyEnded(FinalOutcome),
-    /// Its id is that of another flow.
+    /// Its id belongs to another message.
     IdConflict,
     /// Its class, tenant or destination is unknown.
     Unknown,
 }
 
-/// What the wires shall do, in this order.
+/// What the network layer has to do, in this order.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Answer an offer.
+    /// Answer a submission.
     Reply(Token, u8, Reply),
     /// Start a call.
     Call {
         /// The call.
         call: CallId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How long it will be waited for.
+        /// Its time-out.
         wait: Micros,
-        /// Where its connection comes up only then or later, nothing of it is written.
+        /// Nothing of the call is written if its connection is not open before this time.
         leaves_by: Micros,
-        /// What it carries.
+        /// Its messages.
         items: Vec<Item>,
     },
-    /// Give up a call: end its connection at once.
+    /// Abort a call: close its connection at once.
     Abort(CallId),
-    /// Tell a front the end of a flow; [`Input::OutcomeReported`] ends the debt.
+    /// Report a message's final outcome to its front, which confirms with [`Input::OutcomeReported`].
     ReportOutcome {
-        /// The flow.
+        /// The message.
         message: MessageId,
         /// The front.
         front: u8,
@@ -133,35 +134,35 @@
         tenant: usize,
         /// Its id at the client.
         id: Rc<[u8]>,
-        /// What the front asked to have back.
+        /// Data that the front gave with the submission.
         origin: Rc<[u8]>,
-        /// How it ended.
+        /// Its final outcome.
         outcome: FinalOutcome,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// A line for those on call.
+    /// Write a log line for operators.
     Log(String),
 }
 
-/// Counts for the administration, by tenant.
+/// Counts of a tenant for the administration API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Offers taken on.
+    /// Accepted submissions.
     pub accepted: u64,
-    /// Offers turned down.
+    /// Rejected submissions.
     pub rejected: u64,
-    /// Flows delivered.
+    /// Messages delivered.
     pub delivered: u64,
-    /// Flows ended as undeliverable.
+    /// Messages ended as undeliverable.
     pub undeliverable: u64,
-    /// Flows ended as deferred.
+    /// Messages ended as deferred.
     pub deferred: u64,
-    /// Flows that are open just now.
+    /// Messages that are open at present.
     pub open: u64,
 }
 
-/// A flow as the administration sees it.
+/// A message as the administration API shows it.
 #[derive(Clone, Debug)]
 pub struct MessageView {
     /// Tenant, by index.
@@ -174,9 +175,9 @@
     pub destination: u64,
     /// Attempts so far.
     pub attempts: u32,
-    /// An attempt is out.
+    /// An attempt is in progress.
     pub in_flight: bool,
-    /// How it ended, where its front is still to be told.
+    /// Its final outcome, if the report to the front is still owed.
     pub outcome: Option<FinalOutcome>,
     /// Time left.
     pub time_left: Micros,
--- a/src/engine/memory.rs
+++ b/src/engine/memory.rs
@@ -1,21 +1,22 @@
-//! Flows that ended lately: a repeat of an id is answered, not redone.
+//! Final outcomes of recently ended messages: a repeated id is answered from here and not delivered again.
 
 use crate::journal::FinalOutcome;
 use crate::Micros;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Longer than any class's deadline: by then nobody repeats an id.
+/// Time for which an outcome is kept: longer than any class's deadline, so clients no longer repeat the id by
+/// then.
 const RETENTION: Micros = Micros(120_000_000);
-/// What a name takes in the journal besides its own bytes, about.
+/// Approximate size of a journal record without the bytes of its id.
 const RECORD_OVERHEAD: u64 = 56;
 
-/// The space in which an id names one flow (see [`space`](crate::engine::id_scope_number)), and the id.
+/// The scope in which an id is unique (see [`id_scope_number`](crate::engine::id_scope_number)), and the id.
 pub type ScopedId = (u32, Rc<[u8]>);
 
-/// Whose ends they are: a tenant's number, or [`NOBODY`].
+/// The owner of an outcome: a tenant's number, or [`NO_OWNER`].
 pub type Owner = u32;
-/// Of ends that a journal of a version before this remembers without their tenant.
+/// Owner of the outcomes that a journal of an older version holds without their tenant.
 pub const NO_OWNER: Owner = u32::MAX;
 
 #[derive(Default)]
@@ -24,82 +25,86 @@
     bytes: u64,
 }
 
-/// A bounded memory of ends. Where it is full, the oldest go of whoever has most: a tenant that ends much puts nothing out
-/// of memory that another's clients may still repeat, as long as that one has less.
+/// A bounded store of final outcomes. When it is full, the oldest outcomes of the owner that uses most bytes
+/// are evicted: a tenant with many messages does not evict the outcomes of a tenant that uses less, whose
+/// clients may still repeat them.
 ///
-/// Cost: O(log tenants) an end.
+/// Cost: O(log tenants) for each outcome.
 pub struct OutcomeMemory {
     outcomes: HashMap<ScopedId, (FinalOutcome, Micros)>,
     by_owner: HashMap<Owner, OwnerOutcomes>,
-    /// When the oldest end of each was.
+    /// Owners by the time of their oldest outcome.
     oldest: BTreeSet<(Micros, Owner)>,
-    /// What each takes.
+    /// Owners by the bytes that they use.
     largest: BTreeSet<(u64, Owner)>,
     bytes: u64,
     bound: u64,
 }
 
 impl OutcomeMemory {
-    /// Holds names for so many bytes of the journal at most.
+    /// Creates a store whose outcomes take at most `bound` bytes of the journal.
     pub fn new(bound: u64) -> OutcomeMemory {
         let (oldest, largest) = (BTreeSet::new(), BTreeSet::new());
         OutcomeMemory { outcomes: HashMap::new(), by_owner: HashMap::new(), oldest, largest, bytes: 0, bound }
     }
 
-    /// Another bound counts from now on.
+    /// Changes the bound, and evicts what no longer fits.
     pub fn set_limit(&mut self, bound: u64) {
         self.bound = bound;
         self.evict(Micros(0));
     }
 
-    /// What it takes in the journal.
+    /// Bytes that the outcomes take in the journal.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Remembers an end.
+    /// Adds an outcome.
     pub fn add(&mut self, owner: Owner, name: ScopedId, outcome: FinalOutcome, at: Micros) {
         self.outcomes.insert(name.clone(), (outcome, at));
-        self.update(owner, |owned| {
-            owned.bytes += size(&name);
-            owned.order.push_back((name, at));
+        self.update(owner, |outcomes| {
+            outcomes.bytes += size(&name);
+            outcomes.order.push_back((name, at));
         });
         self.evict(at);
     }
 
-    /// Changes what is one's, and keeps the sums and orders that depend on it.
+    /// Updates the outcomes of an owner together with the sums and indexes that depend on them.
     fn update<T>(&mut self, owner: Owner, update: impl FnOnce(&mut OwnerOutcomes) -> T) -> T {
-        let owned = self.by_owner.entry(owner).or_default();
-        if let Some((_, at)) = owned.order.front() {
+        let outcomes = self.by_owner.entry(owner).or_default();
+        if let Some((_, at)) = outcomes.order.front() {
             self.oldest.remove(&(*at, owner));
-            self.largest.remove(&(owned.bytes, owner));
+            self.largest.remove(&(outcomes.bytes, owner));
         }
-        self.bytes -= owned.bytes;
-        let told = update(owned);
-        self.bytes += owned.bytes;
-        match owned.order.front() {
+        self.bytes -= outcomes.bytes;
+        let result = update(outcomes);
+        self.bytes += outcomes.bytes;
+        match outcomes.order.front() {
             Some((_, at)) => {
                 self.oldest.insert((*at, owner));
-                self.largest.insert((owned.bytes, owner));
+                self.largest.insert((outcomes.bytes, owner));
             }
             None => drop(self.by_owner.remove(&owner)),
         }
-        told
+        result
     }
 
     fn evict(&mut self, at: Micros) {
         loop {
-            let aged =
-                self.oldest.first().filter(|(since, _)| at.minus(*since) >= RETENTION).map(|aged| aged.1);
-            let most = self.largest.last().filter(|_| self.bytes > self.bound).map(|most| most.1);
-            let Some(owner) = aged.or(most) else { return };
-            let gone = self.update(owner, |owned| {
-                let gone = owned.order.pop_front();
-                owned.bytes -= gone.as_ref().map_or(0, |(name, _)| size(name));
-                gone
+            let expired = self
+                .oldest
+                .first()
+                .filter(|(since, _)| at.minus(*since) >= RETENTION)
+                .map(|expired| expired.1);
+            let largest = self.largest.last().filter(|_| self.bytes > self.bound).map(|largest| largest.1);
+            let Some(owner) = expired.or(largest) else { return };
+            let evicted = self.update(owner, |outcomes| {
+                let evicted = outcomes.order.pop_front();
+                outcomes.bytes -= evicted.as_ref().map_or(0, |(name, _)| size(name));
+                evicted
             });
-            // The same id may have ended again since.
-            if let Some((name, since)) = gone {
+            // Another message with the same id may have ended since.
+            if let Some((name, since)) = evicted {
                 if self.outcomes.get(&name).is_some_and(|known| known.1 == since) {
                     self.outcomes.remove(&name);
                 }
@@ -107,7 +112,8 @@
         }
     }
 
-    /// How a flow of this name ended. A deferred one is forgotten once it was to come again.
+    /// The final outcome of the message with this id. A deferred one no longer counts once its retry-after
+    /// has passed.
     pub fn outcome_of(&self, name: &ScopedId, now: Micros) -> Option<FinalOutcome> {
         match self.outcomes.get(name) {
             Some(&(FinalOutcome::Deferred(again), at)) if at.plus(again) <= now => None,
@@ -115,10 +121,12 @@
         }
     }
 
-    /// All of it with its owners, the oldest of each first.
+    /// All outcomes with their owners, the oldest of each owner first.
     pub fn iter(&self) -> impl Iterator<Item = (Owner, &ScopedId, FinalOutcome, Micros)> {
-        let all =
-            self.by_owner.iter().flat_map(|(&owner, owned)| owned.order.iter().map(move |one| (owner, one)));
+        let all = self
+            .by_owner
+            .iter()
+            .flat_map(|(&owner, outcomes)| outcomes.order.iter().map(move |one| (owner, one)));
         let current =
             all.filter_map(|(owner, (name, at))| Some((owner, name, *at, self.outcomes.get(name)?)));
         current
--- a/src/engine/memory/tests.rs
+++ b/src/engine/memory/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn one_that_ends_much_puts_nothing_of_another_out_of_memory() {
+fn tenant_with_many_outcomes_evicts_none_of_a_tenant_with_few() {
     let mut memory = OutcomeMemory::new(10_000);
     let now = Micros(1_000_000);
     (0..20).for_each(|id| memory.add(1, name(1, id), FinalOutcome::Delivered, now));
@@ -17,15 +17,16 @@
         memory.outcome_of(&name(2, 4_999), now).is_some() && memory.outcome_of(&name(2, 0), now).is_none()
     );
     assert!(memory.bytes() <= 10_000);
-    // What is too old goes, whoever's it is.
+    // Outcomes beyond the retention time are evicted, whatever their owner.
     memory.add(2, name(2, 5_000), FinalOutcome::Delivered, now.plus(RETENTION));
     assert!((0..20).all(|id| memory.outcome_of(&name(1, id), now).is_none()));
 }
 
 proptest! {
-    /// The sums are the sums, the bound holds, and what is in order is what can be recalled.
+    /// The byte counts match the outcomes held, the bound holds, and each outcome in the eviction order can
+    /// be looked up.
     #[test]
-    fn sums_and_orders_are_kept(adds in proptest::collection::vec((0u32..4, 0usize..30, 1u64..20_000_000), 1..200)) {
+    fn byte_counts_and_eviction_order_stay_consistent(adds in proptest::collection::vec((0u32..4, 0usize..30, 1u64..20_000_000), 1..200)) {
         let mut memory = OutcomeMemory::new(900);
         let mut now = Micros(0);
         for (owner, id, later) in adds {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,6 +1,7 @@
-//! The core: flows, attempts and outcomes. It asks the decision module once a turn with all that came in, keeps the
-//! journal, and says what the wires shall do. It knows no wire: fronts hand in offers and hear replies and ends,
-//! real servers are endpoints that calls are ordered for.
+//! The engine: messages, attempts and final outcomes. In each loop iteration it passes all inputs to the
+//! dispatcher at once, writes the journal, and returns what the network layer has to do. It knows no
+//! protocol: fronts hand in submissions and get replies and final outcomes, and calls are addressed to
+//! endpoints.
 
 mod admission;
 mod calls;
@@ -33,21 +34,23 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Advice to a client that is turned away before the module is asked.
+/// Retry-after of a submission that is rejected without asking the dispatcher.
 const DEFAULT_RETRY_AFTER: Micros = Micros(500_000);
 
-/// A message's time counts from the moment when its client sent it, which is read a little later. An answer that comes so shortly
-/// before its end, by what was read, may be too late for the client, who is owed an end all the same: it is told one, with no
-/// promise about the effect. Where the delivery was in time after all, that word does no harm. Of a class with little time it is a
-/// tenth of that at the most.
+/// A delivery this close to the message's deadline is reported as [`FinalOutcome::Undeliverable`]. The
+/// client's time starts when it sends the message, and this process reads the message a little later: a
+/// delivery that is in time here may be too late for the client, which is owed a final outcome all the same.
+/// That outcome promises nothing about the effect, so it does no harm where the delivery was in time. The
+/// margin is at most a tenth of the class's deadline.
 const DEADLINE_MARGIN: Micros = Micros(50_000);
 
-/// Names an offer for the front that made it.
+/// Identifies a submission for the front that made it.
 pub type Token = u64;
-/// Names a call for the real servers.
+/// Identifies a call to an endpoint.
 pub type CallId = u64;
 
-/// The space of an id as a number: its tenant's own, or one above all tenants' for each front.
+/// The scope of a message id as a number: the tenant's number, or a number above those of all tenants for
+/// each front.
 pub fn id_scope_number(id_scope: IdScope, tenant: u32, front: u8) -> u32 {
     match id_scope {
         IdScope::Tenant => tenant,
@@ -55,25 +58,25 @@
     }
 }
 
-/// Spaces of fronts lie above all numbers of tenants.
+/// Scopes of fronts start above all tenant numbers.
 const FRONT_SCOPES: u32 = 1 << 31;
-/// Where the first format of the journal had them.
+/// Start of the scopes of fronts in the first format of the journal.
 const FORMAT_1_FRONT_SCOPES: u32 = 1 << 16;
 
-/// A flow that is open, or whose end is still to be told.
+/// A message that is open, or whose final outcome is still to be reported.
 struct HeldMessage {
     accepted: AcceptedMessage,
-    /// Places of its class and tenant, where they have any.
+    /// Index of its class, if the class is still known.
     class: Option<usize>,
     tenant: usize,
     attempts: u32,
     may_have_run: Option<(Micros, EndpointId)>,
-    /// The call it is out in, and its place there.
+    /// The call that carries its current attempt.
     call: Option<CallId>,
     outcome: Option<(FinalOutcome, Micros)>,
 }
 
-/// One message that the module sends.
+/// An attempt that the dispatcher ordered.
 struct Attempt {
     endpoint: EndpointId,
     id: MessageId,
@@ -85,61 +88,63 @@
     endpoint: EndpointId,
     written: bool,
     sent_at: Micros,
-    /// While it is not written: called back then.
+    /// A call that is not written by this time is cancelled.
     leaves_by: Micros,
-    /// Each flow, its attempt, and until when it is waited for; taken out when settled.
+    /// The message, the attempt's number and its time-out, for each item; `None` once the attempt has ended.
     items: Vec<Option<(MessageId, u32, Micros)>>,
 }
 
-/// See the module's text.
+/// Holds all messages and calls. See the [module documentation](self).
 pub struct Engine {
     dispatcher: Dispatcher,
     settings: Settings,
     directory: Rc<Directory>,
     held_bytes: u64,
-    /// What each tenant may hold and offer.
+    /// Limits of what each tenant may submit and hold.
     admission: AdmissionControl,
     journal: Journal,
-    /// Names that the journal has not been told yet.
+    /// Names that are not declared in the journal yet.
     undeclared_names: Vec<Record>,
-    /// Flows without an end.
+    /// Number of messages without a final outcome.
     open_count: usize,
     messages: BTreeMap<MessageId, HeldMessage>,
-    /// Ids of the flows above.
+    /// The messages above by client id.
     ids: HashMap<ScopedId, MessageId>,
     memory: OutcomeMemory,
     next_message: u32,
     calls: BTreeMap<CallId, Call>,
-    /// Those whose last byte is still to be written, by when that must be: their connections are coming up.
+    /// Calls whose last byte is not written yet, by the time by which it must be. Their connections are being
+    /// opened.
     unwritten: BTreeSet<(Micros, CallId)>,
     next_call: CallId,
-    /// When each item of a call is given up: the call, and its place there.
+    /// The time-out of each item of a call: the time, the call and the item's index.
     call_timeouts: BTreeSet<(Micros, CallId, usize)>,
     destinations: BTreeSet<DestinationId>,
-    /// Kind of destination of each endpoint, for the size of its calls.
+    /// Kind of destination of each endpoint, which bounds the size of its calls.
     kinds: BTreeMap<EndpointId, usize>,
     events: Vec<Event>,
     records: Vec<Record>,
     outputs: Vec<Output>,
-    /// Offers of this turn that the module has not refused.
+    /// Submissions of this iteration that the dispatcher has not rejected.
     new_submissions: BTreeMap<MessageId, Token>,
     live_bytes: u64,
     wake_at: Option<Micros>,
-    /// What the journal held and the module has not been told yet; none where it was told all at once.
+    /// Recovered messages that are not passed to the dispatcher yet; `None` if all were passed at once.
     replay: Option<Replay>,
-    /// No call may begin any more: the module is no longer asked.
+    /// No further call may start: the dispatcher is no longer asked.
     calls_stopped: bool,
     paused: BTreeSet<u32>,
     counts: Vec<Counts>,
-    /// By class, by place.
+    /// Counts by class index.
     class_counts: Vec<ClassCounts>,
-    /// All of them together.
+    /// Counts over all tenants.
     totals: Counts,
     now: Micros,
 }
 
 impl Engine {
-    /// Reads the journal in `folder`, and writes nothing. Names of `directory` stay at their places.
+    /// Builds an engine from the journal in `folder` and writes nothing. Names in `directory` keep their
+    /// indices.
     fn from_journal(
         core: &Core,
         seed: u64,
@@ -150,13 +155,14 @@
     ) -> Engine {
         let RecoveredJournal { journal, records, by_index } = Journal::open(folder, disk);
         if by_index {
-            // The first format knows no names: its numbers are places in the lists as they are now.
+            // The first format declares no names: its numbers are indices in the configuration's present
+            // lists.
             directory.configure(core, None);
         }
-        let kept = names_to_keep(&records, core);
+        let names_kept = names_to_keep(&records, core);
         for record in &records {
             if let Record::Named { tenant, number, name } = record {
-                if !kept.contains(&(*tenant, *number)) {
+                if !names_kept.contains(&(*tenant, *number)) {
                     continue;
                 }
                 let name = String::from_utf8_lossy(name).into_owned();
@@ -165,7 +171,7 @@
             }
         }
         let (settings, ..) = directory.configure(core, None);
-        let places = directory.tenants.len();
+        let tenant_count = directory.tenants.len();
         let mut engine = Engine {
             dispatcher: Dispatcher::new(settings.clone(), seed),
             memory: OutcomeMemory::new(journal.max_live_size() / 4),
@@ -194,7 +200,7 @@
             replay: None,
             calls_stopped: false,
             paused: BTreeSet::new(),
-            counts: vec![Counts::default(); places],
+            counts: vec![Counts::default(); tenant_count],
             class_counts: Vec::new(),
             totals: Counts::default(),
             now,
@@ -207,14 +213,15 @@
         engine
     }
 
-    /// Other settings count from the next turn on. What is held stays held, also where less would be taken on now;
-    /// what a name that left was taken on under keeps its settings. Cost: the size of the lists.
+    /// Applies other settings from the next iteration on. Messages that are held stay, even if the new limits
+    /// are lower. A message keeps the settings of its class and tenant after their names are removed. Cost:
+    /// O(names).
     pub fn configure(&mut self, core: &Core) {
         let directory = Rc::make_mut(&mut self.directory);
         let (settings, classes, tenants) = directory.configure(core, Some(&self.settings));
-        let record = |tenant, named: NumberedName| named_record(tenant, &named);
-        self.undeclared_names.extend(classes.into_iter().map(|named| record(false, named)));
-        self.undeclared_names.extend(tenants.into_iter().map(|named| record(true, named)));
+        let declaration = |tenant, named: NumberedName| named_record(tenant, &named);
+        self.undeclared_names.extend(classes.into_iter().map(|named| declaration(false, named)));
+        self.undeclared_names.extend(tenants.into_iter().map(|named| declaration(true, named)));
         self.counts.resize(self.directory.tenants.len(), Counts::default());
         self.held_bytes = core.held_bytes.unwrap_or(u64::MAX);
         self.settings = settings.clone();
@@ -222,58 +229,61 @@
         self.events.push(Event::Settings(Box::new(settings)));
     }
 
-    /// So many senders share the real servers, as observed (see `docs/membership.md`); none, as the settings say.
-    pub fn set_forwarder_count(&mut self, senders: Option<f64>) {
-        self.dispatcher.set_forwarder_count(senders);
+    /// Sets the observed number of forwarders that share the endpoints (see `docs/membership.md`). With
+    /// `None` the number in the settings applies.
+    pub fn set_forwarder_count(&mut self, forwarders: Option<f64>) {
+        self.dispatcher.set_forwarder_count(forwarders);
     }
 
-    /// While this one starts among others, what it begins with at each destination.
-    pub fn set_initial_rate(&mut self, first: Option<InitialSendRate>) {
-        self.dispatcher.set_initial_rate(first);
+    /// Sets the initial send rate at each destination while this process starts among others.
+    pub fn set_initial_rate(&mut self, rate: Option<InitialSendRate>) {
+        self.dispatcher.set_initial_rate(rate);
     }
 
-    /// Parts what can be held among the tenants. Cost: the tenants.
+    /// Divides the capacity for held messages among the tenants. Cost: O(tenants).
     fn configure_admission(&mut self) {
-        // Beside what is remembered of ended flows. Not less what names take: a tenant would see others come and go by it.
+        // A quarter of the live bytes is left to the outcomes of ended messages. The bytes that names take
+        // are not subtracted: a tenant could tell from its capacity that other tenants are added and removed.
         let live = self.journal.max_live_size();
         let bytes = self.held_bytes.min(live - live / 4);
         let held = u64::from(self.settings.max_messages);
         self.admission.configure((held, bytes), &self.settings.isolation);
     }
 
-    /// Whether these settings are those in force, for assertions. Cost: the size of the lists.
+    /// Whether these settings are in force; for assertions. Cost: O(names).
     pub fn has_settings(&self, core: &Core) -> bool {
         let names = self.directory.clone();
-        let class = |(name, told): (&String, &crate::ClassSettings)| {
+        let class = |(name, class): (&String, &crate::ClassSettings)| {
             names
                 .classes
                 .active_index(name)
-                .is_some_and(|place| self.settings.classes.get(place) == Some(told))
+                .is_some_and(|index| self.settings.classes.get(index) == Some(class))
         };
         let tenant = |(name, quota): (&String, &f64)| {
             names
                 .tenants
                 .active_index(name)
-                .is_some_and(|place| self.settings.tenants.get(place) == Some(quota))
+                .is_some_and(|index| self.settings.tenants.get(index) == Some(quota))
         };
-        let parted = |(place, name): (usize, &String)| {
-            let told = core.settings.isolation.get(place).copied().unwrap_or_default();
+        let shares = |(index, name): (usize, &String)| {
+            let limits = core.settings.isolation.get(index).copied().unwrap_or_default();
             names
                 .tenants
                 .active_index(name)
-                .is_some_and(|place| self.settings.isolation.get(place) == Some(&told))
+                .is_some_and(|index| self.settings.isolation.get(index) == Some(&limits))
         };
         let (classes, tenants) = (self.settings.classes.clone(), self.settings.tenants.clone());
         let isolation = self.settings.isolation.clone();
         core.classes.iter().zip(&core.settings.classes).all(class)
             && core.tenants.iter().zip(&core.settings.tenants).all(tenant)
-            && core.tenants.iter().enumerate().all(parted)
+            && core.tenants.iter().enumerate().all(shares)
             && names.classes.active().count() == core.classes.len()
             && names.tenants.active().count() == core.tenants.len().max(1)
             && self.settings == Settings { classes, tenants, isolation, ..core.settings.clone() }
     }
 
-    /// Whether everything live fits into a folder of another size; then the file does, too, from now on.
+    /// Checks that all live data fits into `disk` bytes. If it does, the journal is compacted where its file
+    /// is larger than that limit allows, so that the file fits from now on, too.
     pub fn check_disk_limit(&mut self, disk: u64) -> Result<(), String> {
         let old = self.journal.disk_limit();
         self.journal.set_disk_limit(disk);
@@ -292,43 +302,47 @@
         result
     }
 
-    /// Another size of the folder counts from now on.
+    /// Sets the disk limit of the state folder.
     pub fn set_disk_limit(&mut self, disk: u64) {
         self.journal.set_disk_limit(disk);
         self.memory.set_limit(self.journal.max_live_size() / 4);
         self.configure_admission();
     }
 
-    /// Bytes that must outlast a compaction, about.
+    /// Approximate size of the data that a compaction keeps.
     fn total_live_bytes(&self) -> u64 {
         let names = self.directory.classes.bytes() + self.directory.tenants.bytes();
         self.live_bytes + self.memory.bytes() + names
     }
 
-    /// Names, places and numbers.
+    /// The names of classes and tenants with their indices and numbers.
     pub fn directory(&self) -> &Rc<Directory> {
         &self.directory
     }
 
-    /// What all tenants have had together. Cost: none; counted as it happens.
+    /// Counts over all tenants. Cost: O(1), as they are kept up to date.
     pub fn totals(&self) -> Counts {
         self.totals
     }
 
-    /// Ends that a front is still owed are told again: it was off, and is on now. Cost: the flows held.
+    /// Repeats the reports of final outcomes that a front has not confirmed, after the front was switched on
+    /// again. Cost: O(messages held).
     pub fn repeat_reports(&mut self, front: u8) {
-        let owed = self.messages.values().filter(|message| message.accepted.front == front);
-        let told = owed.filter_map(|message| Some(outcome_report(message, message.outcome?.0)));
-        self.outputs.extend(told);
+        let messages = self.messages.values().filter(|message| message.accepted.front == front);
+        let reports = messages.filter_map(|message| Some(outcome_report(message, message.outcome?.0)));
+        self.outputs.extend(reports);
     }
 
-    /// Takes all that came in, asks the module once, writes the journal once, and says what to do.
+    /// Runs one loop iteration: handles all inputs, asks the dispatcher once, writes the journal once, and
+    /// returns what the network layer has to do.
     pub fn step(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         self.now = self.now.max(now);
         let inputs: Vec<Input> = inputs.into_iter().collect();
-        // Before all else: what has left may have run, whatever else this turn brings.
+        // Written calls come first: a call that was written may have run, whatever the other inputs are.
         let written =
-            inputs.iter().filter_map(|one| if let Input::Written(call) = one { Some(*call) } else { None });
+            inputs
+                .iter()
+                .filter_map(|input| if let Input::Written(call) = input { Some(*call) } else { None });
         written.for_each(|call| self.call_written(call));
         for input in inputs {
             self.handle_input(input);
@@ -354,44 +368,45 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When the next turn is due though nothing comes in.
+    /// When the next iteration is due if no input comes before.
     pub fn next_due(&self) -> Option<Micros> {
-        let waits = self.call_timeouts.first().map(|&(until, ..)| until);
-        let leaves = self.unwritten.first().map(|&(by, _)| by);
-        let soon = (!self.events.is_empty()).then_some(self.now);
+        let timeout = self.call_timeouts.first().map(|&(until, ..)| until);
+        let leaves_by = self.unwritten.first().map(|&(by, _)| by);
+        let events_due = (!self.events.is_empty()).then_some(self.now);
         let replay = self.replay.as_ref().and_then(Replay::due);
-        [soon, waits, leaves, self.wake_at, replay].into_iter().flatten().min()
+        [events_due, timeout, leaves_by, self.wake_at, replay].into_iter().flatten().min()
     }
 
-    /// What a tenant has had, and whether it is paused.
-    pub fn tenant_status(&self, place: usize) -> (Counts, bool) {
-        let paused = self.paused.contains(&self.directory.tenants.number(place));
-        (self.counts.get(place).copied().unwrap_or_default(), paused)
+    /// The counts of a tenant, and whether it is paused.
+    pub fn tenant_status(&self, index: usize) -> (Counts, bool) {
+        let paused = self.paused.contains(&self.directory.tenants.number(index));
+        (self.counts.get(index).copied().unwrap_or_default(), paused)
     }
 
-    /// What a tenant has of what is shared, and may have: call slots, messages held, their bytes. Cost: O(1).
-    pub fn tenant_shares(&self, place: usize) -> [(&'static str, u64, Bounds); 3] {
+    /// A tenant's use and bounds of the shared resources: call slots, messages held and their bytes. Cost:
+    /// O(1).
+    pub fn tenant_shares(&self, index: usize) -> [(&'static str, u64, Bounds); 3] {
         let (held, bytes) = self.admission.shares();
         [("slots", self.dispatcher.slots()), ("held_messages", held), ("held_bytes", bytes)]
-            .map(|(name, shares)| (name, shares.used(place), shares.bounds(place)))
+            .map(|(name, shares)| (name, shares.used(index), shares.bounds(index)))
     }
 
-    /// What became of the messages of a class, by its place.
+    /// Counts of the messages of a class.
     pub fn class_counts(&self, class: usize) -> ClassCounts {
         self.class_counts.get(class).copied().unwrap_or_default()
     }
 
-    /// Messages taken and not ended.
+    /// Number of messages without a final outcome.
     pub fn outstanding(&self) -> usize {
         self.open_count
     }
 
-    /// Listed endpoints that are avoided. Cost: the endpoints listed.
+    /// Number of listed endpoints with an open circuit. Cost: O(endpoints).
     pub fn open_circuits(&self) -> usize {
         self.dispatcher.open_circuits()
     }
 
-    /// Flows that are open, or whose end is still to be told.
+    /// Messages that are open, or whose final outcome is still to be reported.
     pub fn messages(&self) -> impl Iterator<Item = MessageView> + '_ {
         self.messages.values().map(|message| MessageView {
             tenant: message.tenant,
@@ -408,7 +423,7 @@
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Submission(submission) => self.submit(submission),
-            Input::EndpointRecords(scope, members) => self.update_endpoint_records(scope, members),
+            Input::EndpointRecords(scope, records) => self.update_endpoint_records(scope, records),
             Input::Written(_) => {}
             Input::Answered { call, results, wait } => {
                 let endpoint = self.calls.get(&call).map(|call| call.endpoint);
@@ -416,8 +431,8 @@
                 if let (Some(endpoint), Some(wait)) = (endpoint, wait) {
                     self.retry_after(endpoint, wait);
                 }
-                for (place, outcome, over) in results {
-                    self.end_attempt(call, place, outcome, over);
+                for (index, outcome, closed) in results {
+                    self.end_attempt(call, index, outcome, closed);
                 }
             }
             Input::Report(endpoint, report) => self.events.push(Event::Report(endpoint, report)),
@@ -440,23 +455,25 @@
         }
     }
 
-    fn update_endpoint_records(&mut self, scope: ListScope, members: Vec<EndpointRecord>) {
-        // Destinations stay: one without endpoints for a while still has its flows taken on. Endpoints do not.
+    fn update_endpoint_records(&mut self, scope: ListScope, endpoint_records: Vec<EndpointRecord>) {
+        // Destinations stay, so that messages are accepted for one that has no endpoints for a while.
+        // Endpoints do not.
         if matches!(scope, ListScope::Whole | ListScope::Cached) {
             self.kinds.clear();
         }
-        for member in &members {
-            self.destinations.insert(member.destination);
-            self.kinds.insert(member.endpoint, member.kind);
-            if member.lifecycle == Lifecycle::Gone {
-                self.kinds.remove(&member.endpoint);
+        for record in &endpoint_records {
+            self.destinations.insert(record.destination);
+            self.kinds.insert(record.endpoint, record.kind);
+            if record.lifecycle == Lifecycle::Gone {
+                self.kinds.remove(&record.endpoint);
             }
         }
-        // Calls whose connections are only coming up would go there later, and to who is gone perhaps never. Half of what is
-        // allowed is left to this process's own delays.
+        // A call whose connection is still being opened would reach a leaving endpoint late, and one that is
+        // gone perhaps never. Such calls get half of the drain grace; the other half is left for this
+        // process's own delays.
         let by = self.now.plus(Micros(self.settings.drain_grace.0 / 2));
-        let stays = |endpoint| match members.iter().find(|member| member.endpoint == endpoint) {
-            Some(member) => member.lifecycle == Lifecycle::Ready,
+        let stays = |endpoint| match endpoint_records.iter().find(|record| record.endpoint == endpoint) {
+            Some(record) => record.lifecycle == Lifecycle::Ready,
             None => !matches!(scope, ListScope::Whole | ListScope::Cached),
         };
         let leaving = self.unwritten.iter().filter(|(at, id)| *at > by && !stays(self.calls[id].endpoint));
@@ -465,10 +482,10 @@
             self.unwritten.insert((by, id));
             self.calls.entry(id).and_modify(|call| call.leaves_by = by);
         }
-        self.events.push(Event::EndpointRecords(scope, members));
+        self.events.push(Event::EndpointRecords(scope, endpoint_records));
     }
 
-    /// Counts for a class; what has none stands under none.
+    /// Updates the counts of a class. Messages without a known class are not counted.
     fn count(&mut self, class: Option<usize>, update: impl FnOnce(&mut ClassCounts)) {
         let Some(class) = class else { return };
         if self.class_counts.len() <= class {
@@ -477,7 +494,7 @@
         update(&mut self.class_counts[class]);
     }
 
-    /// The end of a flow: into the journal, and to its front in this turn.
+    /// Ends a message: the final outcome goes into the journal, and to the front in this iteration.
     fn end_message(&mut self, number: MessageId, outcome: FinalOutcome) {
         let Some(message) = self.messages.get_mut(&number) else { return };
         if message.outcome.is_none() {
@@ -498,20 +515,20 @@
             }
         }
         let class = message.class;
-        self.count(class, |figures| match outcome {
-            FinalOutcome::Delivered => figures.succeeded += 1,
-            FinalOutcome::Deferred(_) => figures.declined += 1,
-            FinalOutcome::Undeliverable => figures.aborted += 1,
+        self.count(class, |counts| match outcome {
+            FinalOutcome::Delivered => counts.succeeded += 1,
+            FinalOutcome::Deferred(_) => counts.declined += 1,
+            FinalOutcome::Undeliverable => counts.aborted += 1,
             FinalOutcome::Closed => {}
         });
         self.records.push(Record::Ended { message: number, at: self.now, outcome });
         let Some(message) = self.messages.get_mut(&number) else { return };
-        // An end that waits long to be told keeps no room for its body.
+        // The body is dropped, as the report of the final outcome may wait for long.
         let before = stored_size(&message.accepted);
         message.accepted.body = Rc::from(&[][..]);
-        let rest = before - stored_size(&message.accepted);
-        self.live_bytes -= rest;
-        self.admission.release_bytes(message.tenant, rest);
+        let released = before - stored_size(&message.accepted);
+        self.live_bytes -= released;
+        self.admission.release_bytes(message.tenant, released);
         if needs_report(&message.accepted, outcome) {
             self.outputs.push(outcome_report(message, outcome));
         } else {
@@ -525,8 +542,8 @@
                 sends.push(Attempt { endpoint, id, timeout, leaves_by });
             }
             Action::Cancel { id, attempt } => {
-                let call = self.messages.get(&id).filter(|message| message.attempts == attempt + 1);
-                if let Some(call) = call.and_then(|message| message.call) {
+                let message = self.messages.get(&id).filter(|message| message.attempts == attempt + 1);
+                if let Some(call) = message.and_then(|message| message.call) {
                     self.outputs.push(Output::Abort(call));
                     self.end_call(call, AttemptOutcome::Cancelled);
                 }
@@ -543,11 +560,13 @@
         }
     }
 
-    /// Writes this turn's records before anything that they vouch for leaves. What cannot be written is not done.
+    /// Writes the records of this iteration before any reply or call that depends on them goes out. If the
+    /// write fails, the new submissions are rejected and the new calls are not started.
     fn commit(&mut self, calls: Vec<CallId>) {
-        let fresh = std::mem::take(&mut self.new_submissions);
-        let accepted =
-            fresh.keys().filter_map(|id| Some(Record::Accepted(self.messages.get(id)?.accepted.clone())));
+        let submissions = std::mem::take(&mut self.new_submissions);
+        let accepted = submissions
+            .keys()
+            .filter_map(|id| Some(Record::Accepted(self.messages.get(id)?.accepted.clone())));
         let mut records: Vec<Record> = self.undeclared_names.iter().cloned().chain(accepted).collect();
         records.append(&mut self.records);
         if !records.is_empty() {
@@ -557,13 +576,13 @@
             let written = self.journal.commit(&records, live);
             if let Err(problem) = written {
                 self.outputs.push(Output::Log(format!("journal not written: {problem}")));
-                return self.revert_iteration(fresh, calls);
+                return self.revert_iteration(submissions, calls);
             }
             self.undeclared_names.clear();
         }
         let mut replies = Vec::new();
-        for (id, token) in fresh {
-            // It may have ended within this turn; it was taken on all the same.
+        for (id, token) in submissions {
+            // The message was accepted even if it has ended within this iteration.
             let Some(message) = self.messages.get(&id) else { continue };
             self.counts[message.tenant].accepted += 1;
             self.totals.accepted += 1;
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -1,10 +1,11 @@
-//! What the journal holds of the core's state: the records of a snapshot, and which names a start goes on with. It writes
-//! nothing itself.
+//! Journal records of the engine's state: the records of a snapshot, and the names that are kept at a start.
+//! This module writes nothing itself.
 
 use super::*;
 
-/// The names that a start goes on with: those of the configuration, those that flows go by, and of each kind the last
-/// that was given a number, so that none is given again. All others are forgotten here, as nowhere else.
+/// The names that are kept at a start, as (is a tenant, number): those of the configuration, those that
+/// messages refer to, and of each kind the one with the highest number, so that no number is assigned again.
+/// All others are dropped; this is the only place where names are dropped.
 pub(super) fn names_to_keep(records: &[Record], core: &Core) -> BTreeSet<(bool, u32)> {
     let mut kept = BTreeSet::new();
     let (mut last, mut configured) = ([None; 2], BTreeSet::new());
@@ -37,7 +38,7 @@
     Record::Named { tenant, number: named.number, name: named.name.as_bytes().into() }
 }
 
-/// Whether the front wants to hear of an end.
+/// Whether the front is owed a report of this outcome.
 pub(super) fn needs_report(accepted: &AcceptedMessage, outcome: FinalOutcome) -> bool {
     match outcome {
         FinalOutcome::Closed => false,
@@ -46,7 +47,7 @@
     }
 }
 
-/// All that must outlast a compaction. Retired names stay: their numbers are not to be given again.
+/// All records that a compaction keeps. Retired names stay, so that their numbers are not assigned again.
 pub(super) fn snapshot(
     directory: &Directory,
     messages: &BTreeMap<MessageId, HeldMessage>,
--- a/src/engine/restart.rs
+++ b/src/engine/restart.rs
@@ -1,49 +1,51 @@
-//! A start's first steps in the core: the journal's flows go on, all at once or bit by bit (see `startup::replay`).
+//! Start of the engine: the messages in the journal are resumed, all at once or gradually (see
+//! `startup::replay`).
 
 use super::*;
 
-/// How the flows that a journal held go on.
+/// How the messages recovered from a journal are resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resume {
-    /// All in the first turn, as where nothing is known of others that start.
+    /// All in the first iteration. Used where it is not known whether other forwarders start.
     AtOnce,
-    /// Behind what clients hand in, at a pace that the members starting share.
+    /// After what clients submit, at a rate that the starting members share.
     Paced,
 }
 
 impl Engine {
-    /// Replays the journal in `folder` and goes on with what it holds; `cached` is the list as last known.
+    /// Replays the journal in the folder and resumes its messages. `cached` is the cached endpoint list.
     pub fn start(
         core: &Core,
         seed: u64,
-        place: (&Path, u64),
+        folder: (&Path, u64),
         now: Micros,
         cached: Vec<EndpointRecord>,
         resume: Resume,
     ) -> Engine {
-        let mut engine = Engine::from_journal(core, seed, place, now, cached, Directory::default());
+        let mut engine = Engine::from_journal(core, seed, folder, now, cached, Directory::default());
         engine.messages.values_mut().for_each(|message| message.call = None);
         engine.end_messages_with_changed_effect();
-        // What may have run is decided on at once, what never ran may wait.
-        let waits = |message: &HeldMessage| {
+        // A message that may have run is passed on at once. One that never ran may wait.
+        let may_wait = |message: &HeldMessage| {
             resume == Resume::Paced && message.outcome.is_none() && message.may_have_run.is_none()
         };
-        let held: Vec<_> = engine
+        let waiting: Vec<_> = engine
             .messages
             .iter()
-            .filter(|(_, message)| waits(message))
+            .filter(|(_, message)| may_wait(message))
             .map(|(&id, message)| {
                 (DestinationId(message.accepted.destination), message.accepted.deadline, id)
             })
             .collect();
-        let behind: BTreeSet<MessageId> = held.iter().map(|one| one.2).collect();
-        engine.restore_messages(|number| behind.contains(&number));
-        engine.replay = (!held.is_empty()).then(|| Replay::new(engine.now, seed ^ now.0, held.into_iter()));
+        let waiting_ids: BTreeSet<MessageId> = waiting.iter().map(|one| one.2).collect();
+        engine.restore_messages(|number| waiting_ids.contains(&number));
+        engine.replay =
+            (!waiting.is_empty()).then(|| Replay::new(engine.now, seed ^ now.0, waiting.into_iter()));
         if !engine.messages.is_empty() {
-            let (open, owed) = (engine.open_count, engine.messages.len() - engine.open_count);
-            engine
-                .outputs
-                .push(Output::Log(format!("journal replayed: {open} flows open, {owed} ends owed")));
+            let (open, unreported) = (engine.open_count, engine.messages.len() - engine.open_count);
+            engine.outputs.push(Output::Log(format!(
+                "journal replayed: {open} messages open, {unreported} outcomes to report"
+            )));
         }
         engine.claim_journal();
         engine
@@ -64,7 +66,7 @@
             }
             Record::NeverRan(message) => {
                 if let Some(message) = self.messages.get_mut(&message) {
-                    // Only the attempt that set it can take it back.
+                    // Only the attempt that set `may_have_run` can clear it.
                     if message.call.take().is_some() {
                         message.may_have_run = None;
                     }
@@ -91,11 +93,13 @@
             }
             Record::Reported(message) => self.drop_message(message),
             Record::Remembered { owner, id_scope, id, at, outcome } => {
-                let first = by_index && id_scope & FORMAT_1_FRONT_SCOPES != 0;
-                let id_scope = if first { id_scope ^ FORMAT_1_FRONT_SCOPES | FRONT_SCOPES } else { id_scope };
-                // A tenant's space is its number; whose an end in a front's space was, an older journal does not tell.
-                let of_scope = if id_scope < FRONT_SCOPES { id_scope } else { memory::NO_OWNER };
-                let owner = owner.unwrap_or(of_scope);
+                let is_format_1 = by_index && id_scope & FORMAT_1_FRONT_SCOPES != 0;
+                let id_scope =
+                    if is_format_1 { id_scope ^ FORMAT_1_FRONT_SCOPES | FRONT_SCOPES } else { id_scope };
+                // The scope of a tenant is its number. For a scope of a front, an older journal does not
+                // contain the owner.
+                let scope_owner = if id_scope < FRONT_SCOPES { id_scope } else { memory::NO_OWNER };
+                let owner = owner.unwrap_or(scope_owner);
                 self.memory.add(owner, (id_scope, id), outcome, at);
             }
             Record::Paused { tenant, paused: true } => {
@@ -108,12 +112,12 @@
         }
     }
 
-    /// The folder is this process's from now on: the journal is written anew, with what is live.
+    /// Takes over the state folder: the journal is rewritten with the live data.
     pub fn claim_journal(&mut self) {
         self.journal.claim();
         let live = snapshot(&self.directory, &self.messages, &self.calls, &self.memory, &self.paused);
         match self.journal.compact(&live) {
-            // What the replay ended is in it.
+            // The snapshot contains the outcomes from the replay.
             Ok(()) => self.records.clear(),
             Err(problem) => {
                 self.outputs.push(Output::Log(format!("journal not written at the start: {problem}")));
@@ -121,31 +125,37 @@
         }
     }
 
-    /// After the replay: ends the flows whose settings have changed since. Under another effect, what may have run could be
-    /// sent a second time.
+    /// After the replay, ends the messages whose class has another effect now. Under the new effect, a
+    /// message that may have run could be sent a second time.
     pub(super) fn end_messages_with_changed_effect(&mut self) -> Vec<MessageId> {
-        let told = |class: Option<usize>| self.settings.classes.get(class?).map(|c| effect_code(c.effect));
-        let strange = |message: &&HeldMessage| {
-            message.outcome.is_none() && told(message.class) != Some(message.accepted.effect)
+        let present_effect =
+            |class: Option<usize>| self.settings.classes.get(class?).map(|c| effect_code(c.effect));
+        let changed = |message: &&HeldMessage| {
+            message.outcome.is_none() && present_effect(message.class) != Some(message.accepted.effect)
         };
-        let strange: Vec<MessageId> =
-            self.messages.values().filter(strange).map(|message| message.accepted.message).collect();
-        for &number in &strange {
-            let ran = self
+        let changed: Vec<MessageId> =
+            self.messages.values().filter(changed).map(|message| message.accepted.message).collect();
+        for &number in &changed {
+            let may_have_run = self
                 .messages
                 .get(&number)
                 .is_some_and(|message| message.may_have_run.is_some() || message.call.is_some());
             self.end_message(
                 number,
-                if ran { FinalOutcome::Undeliverable } else { FinalOutcome::Deferred(DEFAULT_RETRY_AFTER) },
+                if may_have_run {
+                    FinalOutcome::Undeliverable
+                } else {
+                    FinalOutcome::Deferred(DEFAULT_RETRY_AFTER)
+                },
             );
         }
-        // All ends that are owed, these too, are told below.
+        // `restore_messages` reports all owed outcomes, these included.
         self.outputs.clear();
-        strange
+        changed
     }
 
-    /// Hands open flows to the module, but those that it knows, and the ends that are owed to their fronts.
+    /// Passes the open messages to the dispatcher, except those that it knows, and the owed outcomes to their
+    /// fronts.
     pub(super) fn restore_messages(&mut self, known: impl Fn(MessageId) -> bool) {
         for (&number, message) in &self.messages {
             if let Some((outcome, _)) = message.outcome {
@@ -156,24 +166,24 @@
         }
     }
 
-    /// So many members start, this one among them: what the journal held goes on at a pace that they share. Nothing changes
-    /// where it was handed over all at once.
+    /// Sets the number of members that are starting, this one included: the recovered messages are resumed at
+    /// a rate that these members share. Has no effect if all were resumed at once.
     pub fn set_starting_members(&mut self, starting: usize) {
         if let Some(replay) = &mut self.replay {
             replay.among(starting);
         }
     }
 
-    /// Some of what the journal held still waits.
+    /// Whether some recovered messages are not resumed yet.
     pub fn is_replaying(&self) -> bool {
         self.replay.is_some()
     }
 
-    /// Hands the module what is due of what the journal held.
+    /// Passes the recovered messages that are due to the dispatcher.
     pub(super) fn release_replayed(&mut self) {
         let Some(replay) = &mut self.replay else { return };
         for number in replay.release(self.now) {
-            // It may have ended meanwhile: nobody wanted it any more.
+            // The message may have ended meanwhile, because its client no longer wants it.
             let message = self.messages.get(&number).filter(|message| message.outcome.is_none());
             self.events.extend(message.map(|message| restored_event(number, message, self.now)));
         }
@@ -183,9 +193,9 @@
     }
 }
 
-/// A flow of the journal for the module.
+/// The event that passes a recovered message to the dispatcher.
 fn restored_event(number: MessageId, message: &HeldMessage, now: Micros) -> Event {
-    let handed_in = Submission {
+    let submission = Submission {
         destination: DestinationId(message.accepted.destination),
         time_left: message.accepted.deadline.minus(now),
         class: message.class.unwrap_or_default(),
@@ -193,6 +203,6 @@
         tenant: message.tenant,
         resubmitted: true,
     };
-    let past = AttemptHistory { attempts: message.attempts, may_have_run: message.may_have_run };
-    Event::Restored(number, handed_in, past)
+    let history = AttemptHistory { attempts: message.attempts, may_have_run: message.may_have_run };
+    Event::Restored(number, submission, history)
 }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -91,7 +91,7 @@
     assert_eq!(stage.process().wait().unwrap().code(), Some(0));
     stage.start();
     stage.await_yes();
-    assert!(stage.lines().contains("journal replayed: 6 flows open"), "{}", stage.lines());
+    assert!(stage.lines().contains("journal replayed: 6 messages open"), "{}", stage.lines());
 }
 
 #[test]
@@ -105,7 +105,10 @@
     client.write_all(both.as_bytes()).unwrap();
     let text = to_the_end(&mut client);
     assert!(text.starts_with("HTTP/1.1 202 ") && text.matches("HTTP/1.1").count() == 1, "{text:?}");
-    assert!(open_flows(&mut stage).contains("journal replayed: 1 flows open"), "the second is not taken on");
+    assert!(
+        open_flows(&mut stage).contains("journal replayed: 1 messages open"),
+        "the second is not taken on"
+    );
 }
 
 #[test]
@@ -121,7 +124,7 @@
     client.write_all(request("c3", "", "late").as_bytes()).expect("it is read and dropped");
     assert_eq!(client.read(&mut [0; 10]).expect("no reset"), 0);
     heard(&stage);
-    assert!(open_flows(&mut stage).contains("journal replayed: 1 flows open"), "{}", stage.lines());
+    assert!(open_flows(&mut stage).contains("journal replayed: 1 messages open"), "{}", stage.lines());
 }
 
 #[test]
@@ -146,7 +149,7 @@
     assert_eq!(stage.process().wait().unwrap().code(), Some(0));
     stage.start();
     stage.await_yes();
-    assert!(stage.lines().contains("journal replayed: 3 flows open"), "{}", stage.lines());
+    assert!(stage.lines().contains("journal replayed: 3 messages open"), "{}", stage.lines());
 }
 
 #[test]
@@ -205,7 +208,7 @@
     assert_eq!(stage.process().wait().unwrap().code(), Some(0));
     stage.start();
     stage.await_yes();
-    assert!(stage.lines().contains("journal replayed: 5 flows open"), "{}", stage.lines());
+    assert!(stage.lines().contains("journal replayed: 5 messages open"), "{}", stage.lines());
 }
 
 /// At the end of a drain no connection without a request is kept; one opened after it, whose request comes a few turns later, still
