--- a/src/engine/memory.rs
+++ b/src/engine/memory.rs
@@ -60,11 +60,11 @@
     }
 
     /// Adds an outcome.
-    pub fn add(&mut self, owner: Owner, name: ScopedId, outcome: FinalOutcome, at: Micros) {
-        self.outcomes.insert(name.clone(), (outcome, at));
+    pub fn add(&mut self, owner: Owner, id: ScopedId, outcome: FinalOutcome, at: Micros) {
+        self.outcomes.insert(id.clone(), (outcome, at));
         self.update(owner, |outcomes| {
-            outcomes.bytes += size(&name);
-            outcomes.order.push_back((name, at));
+            outcomes.bytes += size(&id);
+            outcomes.order.push_back((id, at));
         });
         self.evict(at);
     }
@@ -100,13 +100,13 @@
             let Some(owner) = expired.or(largest) else { return };
             let evicted = self.update(owner, |outcomes| {
                 let evicted = outcomes.order.pop_front();
-                outcomes.bytes -= evicted.as_ref().map_or(0, |(name, _)| size(name));
+                outcomes.bytes -= evicted.as_ref().map_or(0, |(id, _)| size(id));
                 evicted
             });
             // Another message with the same id may have ended since.
-            if let Some((name, since)) = evicted {
-                if self.outcomes.get(&name).is_some_and(|known| known.1 == since) {
-                    self.outcomes.remove(&name);
+            if let Some((id, since)) = evicted {
+                if self.outcomes.get(&id).is_some_and(|known| known.1 == since) {
+                    self.outcomes.remove(&id);
                 }
             }
         }
@@ -114,9 +114,9 @@
 
     /// The final outcome of the message with this id. A deferred one no longer counts once its retry-after
     /// has passed.
-    pub fn outcome_of(&self, name: &ScopedId, now: Micros) -> Option<FinalOutcome> {
-        match self.outcomes.get(name) {
-            Some(&(FinalOutcome::Deferred(again), at)) if at.plus(again) <= now => None,
+    pub fn outcome_of(&self, id: &ScopedId, now: Micros) -> Option<FinalOutcome> {
+        match self.outcomes.get(id) {
+            Some(&(FinalOutcome::Deferred(retry_after), at)) if at.plus(retry_after) <= now => None,
             known => known.map(|&(outcome, _)| outcome),
         }
     }
@@ -127,16 +127,15 @@
             .by_owner
             .iter()
             .flat_map(|(&owner, outcomes)| outcomes.order.iter().map(move |one| (owner, one)));
-        let current =
-            all.filter_map(|(owner, (name, at))| Some((owner, name, *at, self.outcomes.get(name)?)));
+        let current = all.filter_map(|(owner, (id, at))| Some((owner, id, *at, self.outcomes.get(id)?)));
         current
             .filter(|(.., at, known)| known.1 == *at)
-            .map(|(owner, name, at, known)| (owner, name, known.0, at))
+            .map(|(owner, id, at, known)| (owner, id, known.0, at))
     }
 }
 
-fn size(name: &ScopedId) -> u64 {
-    name.1.len() as u64 + RECORD_OVERHEAD
+fn size(id: &ScopedId) -> u64 {
+    id.1.len() as u64 + RECORD_OVERHEAD
 }
 
 #[cfg(test)]
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -1,9 +1,9 @@
-//! The record of what was taken on, in the folder that lasts: append, replay, compaction.
+//! The journal of accepted messages in the state folder: append, replay, compaction.
 //!
-//! A file is a magic line and records: length, CRC-32 and payload. What is written outlives the process without a
-//! sync. A torn or damaged tail is dropped. A compaction writes all that is live to a new file and renames it, so
-//! old and new are on the disk together for a moment; [`Journal::max_file_size`] and [`Journal::max_live_size`] leave
-//! room for that.
+//! The file is a magic line followed by records of length, CRC-32 and payload. Written data survives the end
+//! of the process without a sync. A torn or damaged tail is dropped. A compaction writes all live records to
+//! a new file and renames it, so that the old and the new file are on the disk together for a moment;
+//! [`Journal::max_file_size`] and [`Journal::max_live_size`] leave space for both.
 
 use crate::{Effect, EndpointId, MessageId, Micros};
 use std::fs::{self, File, OpenOptions};
@@ -12,129 +12,134 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The second format: classes and tenants by numbers that [`Record::Named`] declares.
+/// Magic line of the second format: classes and tenants go by numbers that [`Record::Named`] declares.
 const MAGIC: &[u8] = b"cedarwharf 2\n";
-/// The first: both by their places in the lists of the configuration. It is read, and never written.
-const FIRST: &[u8] = b"cedarwharf 1\n";
-const NAME: &str = "flows.journal";
-const NEXT: &str = "flows.journal.new";
-/// Length and checksum before each payload.
-const FRAME: usize = 8;
-/// No record is longer: a body of 64 KiB, and names.
-const LONGEST: usize = 1 << 18;
-
-/// Within what an id names one flow.
+/// Magic line of the first format: both go by their indices in the configuration's lists. It is only read,
+/// never written.
+const MAGIC_FORMAT_1: &[u8] = b"cedarwharf 1\n";
+const FILE_NAME: &str = "flows.journal";
+const NEW_FILE_NAME: &str = "flows.journal.new";
+/// Bytes of the length and the checksum before each payload.
+const HEADER_BYTES: usize = 8;
+/// Upper bound of a payload's length: a body has at most 64 KiB, the rest is for ids and names.
+const MAX_PAYLOAD_BYTES: usize = 1 << 18;
+
+/// The scope in which a message id is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdScope {
-    /// Its tenant.
+    /// The message's tenant.
     Tenant,
-    /// All tenants of its front.
+    /// All tenants of the message's front.
     Front,
 }
 
-/// A flow as it was taken on.
+/// A message as it was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedMessage {
     /// Its number.
     pub message: MessageId,
-    /// The front that took it on.
+    /// The front that accepted it.
     pub front: u8,
-    /// Within what its id is its own.
+    /// The scope in which its id is unique.
     pub id_scope: IdScope,
-    /// Whether the front wants to tell a delivery too.
+    /// Whether the front reports a delivery, too.
     pub report_delivery: bool,
     /// Class, by number: see [`Record::Named`].
     pub class: u32,
-    /// What repeating does in that class, see [`effect_code`]: settings may differ at the next start.
+    /// The effect of a repeat in that class, see [`effect_code`]. Kept here, as the settings may differ at
+    /// the next start.
     pub effect: u8,
     /// Tenant, by number.
     pub tenant: u32,
     /// Destination.
     pub destination: u64,
-    /// When its time is up, in Unix time.
+    /// Its deadline, in Unix time.
     pub deadline: Micros,
     /// Its id at the client.
     pub id: Rc<[u8]>,
     /// Its idempotency key.
     pub key: Option<Rc<[u8]>>,
-    /// What the front needs to tell its end.
+    /// Data that the front needs to report its final outcome.
     pub origin: Rc<[u8]>,
-    /// What is delivered.
+    /// The payload.
     pub body: Rc<[u8]>,
 }
 
-/// How a flow ended.
+/// The final outcome of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// It reached its destination.
+    /// The message reached its destination.
     Delivered,
-    /// Given up, with no promise about its effect.
+    /// Given up, with no promise about the message's effect.
     Undeliverable,
-    /// Given up; handing it in again after so long is harmless.
+    /// Given up; the message may safely be submitted again after this time.
     Deferred(Micros),
-    /// Nobody wants it any more: nothing is owed.
+    /// The message is no longer wanted: no report is owed.
     Closed,
 }
 
-/// One line of the record.
+/// One record of the journal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// Taken on.
+    /// A message was accepted.
     Accepted(AcceptedMessage),
-    /// An attempt is about to leave.
+    /// An attempt is about to be sent.
     Sent {
-        /// The flow.
+        /// The message.
         message: MessageId,
         /// When, in Unix time.
         at: Micros,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The attempt before this never ran.
+    /// The last attempt of the message never ran.
     NeverRan(MessageId),
-    /// It is over; its front is still to be told, if it wants to be.
+    /// A message has ended. The report to its front is still owed, if the front takes one for this outcome.
     Ended {
-        /// The flow.
+        /// The message.
         message: MessageId,
         /// When, in Unix time.
         at: Micros,
-        /// How.
+        /// The final outcome.
         outcome: FinalOutcome,
     },
-    /// The front has heard of the end.
+    /// The final outcome was reported to the front.
     Reported(MessageId),
-    /// Attempts so far and the first that may have run: stands in for `Sent` and `NeverRan` after a compaction.
+    /// Attempts so far and the first that may have run. A compaction writes this in place of `Sent` and
+    /// `NeverRan`.
     AttemptSummary {
-        /// The flow.
+        /// The message.
         message: MessageId,
         /// Attempts so far.
         attempts: u32,
         /// The first attempt that may have run.
         may_have_run: Option<(Micros, EndpointId)>,
     },
-    /// A flow that ended lately and is told: a repeat of its id is answered from this.
+    /// A message that ended recently and whose outcome was reported: a repeat of its id is answered from this
+    /// record.
     Remembered {
-        /// Whose it is: a tenant's number. None in journals of versions before this.
+        /// The tenant's number. `None` in journals of older versions.
         owner: Option<u32>,
-        /// The space of its id, as a number.
+        /// The scope of its id, as a number.
         id_scope: u32,
         /// Its id at the client.
         id: Rc<[u8]>,
         /// When it ended, in Unix time.
         at: Micros,
-        /// How.
+        /// The final outcome.
         outcome: FinalOutcome,
     },
-    /// A tenant is turned down from now on, or no longer.
+    /// The submissions of a tenant are rejected from now on, or no longer.
     Paused {
         /// Tenant, by number.
         tenant: u32,
-        /// Turned down.
+        /// Whether submissions are rejected.
         paused: bool,
     },
-    /// A name's number, before anything that goes by it. Numbers are never given again.
+    /// Declares the number of a name. Comes before all records that refer to it. A number is never assigned
+    /// again.
     Named {
-        /// A tenant's; else a class's.
+        /// Whether the name is a tenant's; otherwise it is a class's.
         tenant: bool,
         /// The number.
         number: u32,
@@ -143,17 +148,17 @@
     },
 }
 
-/// A journal as it was found.
+/// A journal as read from its file.
 pub struct RecoveredJournal {
-    /// The file, to go on with.
+    /// The journal, to append to.
     pub journal: Journal,
     /// Its records, up to the first damage.
     pub records: Vec<Record>,
-    /// It is of the first format: classes and tenants go by their places in the configuration.
+    /// The file is of the first format: classes and tenants go by their indices in the configuration.
     pub by_index: bool,
 }
 
-/// The file, and the bytes of this turn that are not in it yet.
+/// The journal file in the state folder, and its limits.
 pub struct Journal {
     folder: PathBuf,
     file: Option<File>,
@@ -162,31 +167,31 @@
 }
 
 impl Journal {
-    /// Reads the folder's record, up to the first damage. A missing or unreadable one is empty. Nothing is written, and
-    /// nothing may be, before [`Journal::claim`].
+    /// Reads the journal in `folder` up to the first damaged record. A missing or unreadable file counts as
+    /// empty. Nothing is written, and nothing may be written before [`Journal::claim`].
     pub fn open(folder: &Path, disk: u64) -> RecoveredJournal {
-        let bytes = fs::read(folder.join(NAME)).unwrap_or_default();
-        let (records, whole) = replay(&bytes);
-        let by_index = bytes.starts_with(FIRST);
-        let size = if by_index { 0 } else { whole };
+        let bytes = fs::read(folder.join(FILE_NAME)).unwrap_or_default();
+        let (records, valid_bytes) = replay(&bytes);
+        let by_index = bytes.starts_with(MAGIC_FORMAT_1);
+        let size = if by_index { 0 } else { valid_bytes };
         let journal = Journal { folder: folder.to_owned(), file: None, size, disk };
         RecoveredJournal { journal, records, by_index }
     }
 
-    /// The record is this process's own from now on, to go on with.
+    /// Takes over the journal: from now on this process may write it.
     pub fn claim(&mut self) {
-        let _ = fs::remove_file(self.folder.join(NEXT));
-        // A damaged tail is written over: what follows a torn record would never be read. A file of the first format
-        // gets nothing more: its place is taken by one of the second, whole.
+        let _ = fs::remove_file(self.folder.join(NEW_FILE_NAME));
+        // A damaged tail is cut off, as records after a torn one would never be read. Nothing is appended to
+        // a file of the first format: a complete one of the second format replaces it.
         if self.size > 0 {
-            self.file = OpenOptions::new().write(true).open(self.folder.join(NAME)).ok();
+            self.file = OpenOptions::new().write(true).open(self.folder.join(FILE_NAME)).ok();
             if self.file.as_ref().is_none_or(|file| file.set_len(self.size).is_err()) {
                 (self.file, self.size) = (None, 0);
             }
         }
     }
 
-    /// The file holds all that was committed, and these records too: another process may read it.
+    /// Makes sure that the file holds all committed records and these, so that another process may read it.
     pub fn ensure_written(
         &mut self,
         records: &[Record],
@@ -198,7 +203,7 @@
         self.commit(records, live)
     }
 
-    /// Bytes of the folder that it may count on.
+    /// Bytes of the state folder that the journal may use.
     pub fn disk_limit(&self) -> u64 {
         self.disk
     }
@@ -208,23 +213,23 @@
         self.size
     }
 
-    /// Another bound of the folder counts from now on.
+    /// Changes the bytes of the state folder that the journal may use.
     pub fn set_disk_limit(&mut self, disk: u64) {
         self.disk = disk;
     }
 
-    /// The file is not let grow beyond this.
+    /// Upper bound of the file's size.
     pub fn max_file_size(&self) -> u64 {
         self.disk * 9 / 20
     }
 
-    /// What must outlast a compaction may take so much.
+    /// Upper bound of the bytes that a compaction keeps.
     pub fn max_live_size(&self) -> u64 {
         self.disk * 3 / 10
     }
 
-    /// Appends the records of one turn with one write; where they no longer fit, everything live takes the
-    /// place of the file instead. After an error nothing of them counts.
+    /// Appends the records of one loop iteration with one write. If they no longer fit, the file is compacted
+    /// to the records that `live` returns instead. After an error, none of the records counts as written.
     pub fn commit(&mut self, records: &[Record], live: impl FnOnce() -> Vec<Record>) -> io::Result<()> {
         let bytes = encode(records);
         let Some(file) =
@@ -235,7 +240,7 @@
         match file.write_all_at(&bytes, self.size) {
             Ok(()) => self.size += bytes.len() as u64,
             Err(problem) => {
-                // What the engine believes and what is written differ from here on: next time, write it all.
+                // The engine's state and the file differ from now on: the next commit rewrites the file.
                 let _ = file.set_len(self.size);
                 self.file = None;
                 return Err(problem);
@@ -244,16 +249,16 @@
         Ok(())
     }
 
-    /// Writes all that is live to a new file, and puts it in the place of the old one.
+    /// Writes all live records to a new file, and replaces the old one with it.
     pub fn compact(&mut self, live: &[Record]) -> io::Result<()> {
         let mut bytes = MAGIC.to_vec();
         bytes.extend(encode(live));
         if bytes.len() as u64 > self.max_file_size() {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let next = self.folder.join(NEXT);
+        let next = self.folder.join(NEW_FILE_NAME);
         let written = File::create(&next).and_then(|file| file.write_all_at(&bytes, 0).map(|()| file));
-        let renamed = written.and_then(|file| fs::rename(&next, self.folder.join(NAME)).map(|()| file));
+        let renamed = written.and_then(|file| fs::rename(&next, self.folder.join(FILE_NAME)).map(|()| file));
         if renamed.is_err() {
             let _ = fs::remove_file(&next);
         }
@@ -264,7 +269,7 @@
     }
 }
 
-/// An effect as a record holds it.
+/// The code of an effect in a record.
 pub fn effect_code(effect: Effect) -> u8 {
     match effect {
         Effect::Safe => 0,
@@ -273,7 +278,7 @@
     }
 }
 
-/// Bytes that a flow and its end take in the file, about.
+/// Approximate bytes that a message and its final outcome take in the file.
 pub fn stored_size(accepted: &AcceptedMessage) -> u64 {
     let names = accepted.id.len() + accepted.key.as_ref().map_or(0, |key| key.len()) + accepted.origin.len();
     (names + accepted.body.len() + 160) as u64
@@ -283,30 +288,34 @@
     let mut out = Vec::new();
     for record in records {
         let start = out.len();
-        out.extend([0; FRAME]);
+        out.extend([0; HEADER_BYTES]);
         record.write(&mut out);
-        let payload = &out[start + FRAME..];
+        let payload = &out[start + HEADER_BYTES..];
         let (length, sum) = (payload.len() as u32, crc32fast::hash(payload));
         out[start..start + 4].copy_from_slice(&length.to_le_bytes());
-        out[start + 4..start + FRAME].copy_from_slice(&sum.to_le_bytes());
+        out[start + 4..start + HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     }
     out
 }
 
-/// The records before the first damage, and how many bytes they and the magic line take.
+/// The records before the first damage, and the bytes that they and the magic line take.
 fn replay(bytes: &[u8]) -> (Vec<Record>, u64) {
     let mut records = Vec::new();
-    let rest = bytes.strip_prefix(MAGIC).or_else(|| bytes.strip_prefix(FIRST));
+    let rest = bytes.strip_prefix(MAGIC).or_else(|| bytes.strip_prefix(MAGIC_FORMAT_1));
     let Some(mut rest) = rest else { return (records, 0) };
-    while rest.len() >= FRAME {
+    while rest.len() >= HEADER_BYTES {
         let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
         let sum = u32::from_le_bytes([rest[4], rest[5], rest[6], rest[7]]);
-        let Some(payload) = rest.get(FRAME..FRAME + length).filter(|_| length <= LONGEST) else { break };
+        let Some(payload) =
+            rest.get(HEADER_BYTES..HEADER_BYTES + length).filter(|_| length <= MAX_PAYLOAD_BYTES)
+        else {
+            break;
+        };
         let Some(record) = Some(payload).filter(|p| crc32fast::hash(p) == sum).and_then(Record::read) else {
             break;
         };
         records.push(record);
-        rest = &rest[FRAME + length..];
+        rest = &rest[HEADER_BYTES + length..];
     }
     (records, (bytes.len() - rest.len()) as u64)
 }
@@ -316,7 +325,7 @@
         match self {
             FinalOutcome::Delivered => (0, Micros(0)),
             FinalOutcome::Undeliverable => (1, Micros(0)),
-            FinalOutcome::Deferred(again) => (2, again),
+            FinalOutcome::Deferred(retry_after) => (2, retry_after),
             FinalOutcome::Closed => (3, Micros(0)),
         }
     }
@@ -392,10 +401,10 @@
                 number(out, (*tenant).into());
                 out.push((*paused).into());
             }
-            Record::Named { tenant, number: told, name } => {
+            Record::Named { tenant, number: value, name } => {
                 out.push(9);
                 out.push((*tenant).into());
-                number(out, (*told).into());
+                number(out, (*value).into());
                 bytes(out, name);
             }
         }
@@ -406,11 +415,11 @@
         let kind = fields.byte()?;
         let record = match kind {
             1 => {
-                let message = fields.message()?;
+                let message = fields.message_id()?;
                 let (front, flags, keyed) = (fields.byte()?, fields.byte()?, fields.byte()? != 0);
                 let id_scope = if flags & 2 == 0 { IdScope::Tenant } else { IdScope::Front };
                 let effect = fields.byte()?;
-                let (class, tenant) = (fields.short()?, fields.short()?);
+                let (class, tenant) = (fields.number_u32()?, fields.number_u32()?);
                 let (destination, deadline) = (fields.number()?, Micros(fields.number()?));
                 let (id, key) = (fields.bytes()?, fields.bytes()?);
                 let (origin, body) = (fields.bytes()?, fields.bytes()?);
@@ -432,34 +441,34 @@
                 })
             }
             2 => Record::Sent {
-                message: fields.message()?,
+                message: fields.message_id()?,
                 at: Micros(fields.number()?),
                 endpoint: EndpointId(fields.number()?),
             },
-            3 => Record::NeverRan(fields.message()?),
+            3 => Record::NeverRan(fields.message_id()?),
             4 => Record::Ended {
-                message: fields.message()?,
+                message: fields.message_id()?,
                 at: Micros(fields.number()?),
                 outcome: fields.final_outcome()?,
             },
-            5 => Record::Reported(fields.message()?),
+            5 => Record::Reported(fields.message_id()?),
             6 => {
-                let (message, attempts) = (fields.message()?, fields.number()? as u32);
+                let (message, attempts) = (fields.message_id()?, fields.number()? as u32);
                 let ran = fields.byte()? != 0;
                 let first = (Micros(fields.number()?), EndpointId(fields.number()?));
                 Record::AttemptSummary { message, attempts, may_have_run: ran.then_some(first) }
             }
             7 | 10 => Record::Remembered {
-                owner: if kind == 10 { Some(fields.short()?) } else { None },
-                id_scope: fields.short()?,
+                owner: if kind == 10 { Some(fields.number_u32()?) } else { None },
+                id_scope: fields.number_u32()?,
                 id: fields.bytes()?,
                 at: Micros(fields.number()?),
                 outcome: fields.final_outcome()?,
             },
-            8 => Record::Paused { tenant: fields.short()?, paused: fields.byte()? != 0 },
+            8 => Record::Paused { tenant: fields.number_u32()?, paused: fields.byte()? != 0 },
             9 => {
                 let tenant = fields.byte()? != 0;
-                Record::Named { tenant, number: fields.short()?, name: fields.bytes()? }
+                Record::Named { tenant, number: fields.number_u32()?, name: fields.bytes()? }
             }
             _ => return None,
         };
@@ -467,43 +476,44 @@
     }
 }
 
+/// Reads the fields of a payload in order.
 struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
-    fn some(&mut self, length: usize) -> Option<&'a [u8]> {
-        let (accepted, rest) = self.0.split_at_checked(length)?;
+    fn take(&mut self, length: usize) -> Option<&'a [u8]> {
+        let (head, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
-        Some(accepted)
+        Some(head)
     }
 
     fn byte(&mut self) -> Option<u8> {
-        self.some(1).map(|byte| byte[0])
+        self.take(1).map(|byte| byte[0])
     }
 
     fn number(&mut self) -> Option<u64> {
-        Some(u64::from_le_bytes(self.some(8)?.try_into().ok()?))
+        Some(u64::from_le_bytes(self.take(8)?.try_into().ok()?))
     }
 
-    /// A number that is held in fewer bits than it is written with.
-    fn short(&mut self) -> Option<u32> {
+    /// A 32-bit number, which is stored as 64 bits.
+    fn number_u32(&mut self) -> Option<u32> {
         u32::try_from(self.number()?).ok()
     }
 
-    fn message(&mut self) -> Option<MessageId> {
-        self.short().map(MessageId)
+    fn message_id(&mut self) -> Option<MessageId> {
+        self.number_u32().map(MessageId)
     }
 
     fn bytes(&mut self) -> Option<Rc<[u8]>> {
-        let length = u32::from_le_bytes(self.some(4)?.try_into().ok()?) as usize;
-        self.some(length).map(Rc::from)
+        let length = u32::from_le_bytes(self.take(4)?.try_into().ok()?) as usize;
+        self.take(length).map(Rc::from)
     }
 
     fn final_outcome(&mut self) -> Option<FinalOutcome> {
-        let (code, again) = (self.byte()?, Micros(self.number()?));
+        let (code, retry_after) = (self.byte()?, Micros(self.number()?));
         Some(match code {
             0 => FinalOutcome::Delivered,
             1 => FinalOutcome::Undeliverable,
-            2 => FinalOutcome::Deferred(again),
+            2 => FinalOutcome::Deferred(retry_after),
             3 => FinalOutcome::Closed,
             _ => return None,
         })
