--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -1,163 +1,170 @@
-//! Submissions: what is answered without the decisions, what is opened as a message, and how a rejection or an iteration
-//! that cannot be written is taken back.
+//! Admission of submissions: which are answered without the dispatcher, which become messages, and how a
+//! rejection or an iteration that cannot be written to the journal is undone.
 
 use super::*;
 
 impl Engine {
-    pub(super) fn offered(&mut self, offer: Offer) {
-        let (token, front) = (offer.token, offer.front);
-        match self.admit(offer) {
+    pub(super) fn submit(&mut self, submission: MessageSubmission) {
+        let (token, front) = (submission.token, submission.front);
+        match self.admit(submission) {
             Some(reply) => {
                 self.outputs.push(Output::Reply(token, front, reply));
             }
             None => {
-                self.fresh.insert(MessageId(self.next_flow.wrapping_sub(1)), token);
+                self.new_submissions.insert(MessageId(self.next_message.wrapping_sub(1)), token);
             }
         }
     }
 
-    /// What an offer hears at once, without the module; `None` where the module is to be asked.
-    pub(super) fn admit(&mut self, offer: Offer) -> Option<Reply> {
-        let unknown = !self.directory.classes.is_active(offer.class)
-            || !self.directory.tenants.is_active(offer.tenant)
-            || !self.destinations.contains(&offer.destination);
+    /// The reply to a submission that the engine decides on its own; `None` if the dispatcher has to decide.
+    pub(super) fn admit(&mut self, submission: MessageSubmission) -> Option<Reply> {
+        let unknown = !self.directory.classes.is_active(submission.class)
+            || !self.directory.tenants.is_active(submission.tenant)
+            || !self.destinations.contains(&submission.destination);
         if unknown {
             return Some(Reply::Unknown);
         }
-        // A journal of before ids had spaces knows all of them by tenant.
-        let tenant = self.directory.tenants.number(offer.tenant);
-        for space in [space(offer.space, tenant, offer.front), tenant] {
-            let name = (space, offer.id.clone());
-            if let Some(flow) = self.known.get(&name).and_then(|number| self.flows.get(number)) {
-                // A client repeats what it handed in; whoever means something else by that id is another.
-                let same = (flow.taken.tenant, flow.class, flow.taken.destination)
-                    == (tenant, Some(offer.class), offer.destination.0);
-                let reply = flow.end.map_or(Reply::TakenOn, |(end, _)| Reply::Known(end));
-                return Some(if same { reply } else { Reply::Taken });
+        // Journals written before ids had scopes have all ids in the scope of their tenant.
+        let tenant = self.directory.tenants.number(submission.tenant);
+        for scope in [id_scope_number(submission.id_scope, tenant, submission.front), tenant] {
+            let name = (scope, submission.id.clone());
+            if let Some(message) = self.ids.get(&name).and_then(|number| self.messages.get(number)) {
+                // A repeat has the same tenant, class and destination. Any other submission with this id is a
+                // conflict.
+                let is_repeat = (message.accepted.tenant, message.class, message.accepted.destination)
+                    == (tenant, Some(submission.class), submission.destination.0);
+                let reply =
+                    message.outcome.map_or(Reply::Accepted, |(outcome, _)| Reply::AlreadyEnded(outcome));
+                return Some(if is_repeat { reply } else { Reply::IdConflict });
             }
-            if let Some(end) = self.memory.recall(&name, self.now) {
-                return Some(Reply::Known(end));
+            if let Some(outcome) = self.memory.outcome_of(&name, self.now) {
+                return Some(Reply::AlreadyEnded(outcome));
             }
         }
-        let taken = Taken {
-            flow: MessageId(self.next_flow),
-            front: offer.front,
-            space: offer.space,
-            tell_delivered: offer.tell_delivered,
-            class: self.directory.classes.number(offer.class),
-            effect: effect_code(self.settings.classes[offer.class].effect),
+        let accepted = AcceptedMessage {
+            message: MessageId(self.next_message),
+            front: submission.front,
+            id_scope: submission.id_scope,
+            report_delivery: submission.report_delivery,
+            class: self.directory.classes.number(submission.class),
+            effect: effect_code(self.settings.classes[submission.class].effect),
             tenant,
-            destination: offer.destination.0,
-            deadline: self.now.plus(offer.time_left),
-            id: offer.id,
-            key: offer.key,
-            origin: offer.origin,
-            body: offer.body,
+            destination: submission.destination.0,
+            deadline: self.now.plus(submission.time_left),
+            id: submission.id,
+            key: submission.key,
+            origin: submission.origin,
+            body: submission.body,
         };
-        let full = self.open >= self.settings.max_messages as usize
-            || self.live + room(&taken) > self.held_bytes
-            || self.live() + room(&taken) > self.journal.live_bound();
-        let parted = if self.paused.contains(&tenant) {
+        let full = self.open_count >= self.settings.max_messages as usize
+            || self.live_bytes + stored_size(&accepted) > self.held_bytes
+            || self.total_live_bytes() + stored_size(&accepted) > self.journal.max_live_size();
+        let admission = if self.paused.contains(&tenant) {
             Err(AdmissionError::NoCapacity(ShareError::CeilingReached))
         } else {
-            self.intake.admit(offer.tenant, room(&taken), !full, self.now)
+            self.admission.admit(submission.tenant, stored_size(&accepted), !full, self.now)
         };
-        if let Err(shut) = parted {
-            self.counts[offer.tenant].turned_down += 1;
-            self.sums.turned_down += 1;
-            self.count(Some(offer.class), |figures| figures.declined += 1);
-            let wait = if let AdmissionError::RateExceeded(wait) = shut { wait } else { COME_AGAIN };
-            return Some(Reply::TurnDown(wait));
+        if let Err(error) = admission {
+            self.counts[submission.tenant].rejected += 1;
+            self.totals.rejected += 1;
+            self.count(Some(submission.class), |figures| figures.declined += 1);
+            let wait =
+                if let AdmissionError::RateExceeded(wait) = error { wait } else { DEFAULT_RETRY_AFTER };
+            return Some(Reply::Rejected(wait));
         }
-        self.next_flow = self.next_flow.wrapping_add(1);
+        self.next_message = self.next_message.wrapping_add(1);
         if let Some(replay) = &mut self.replay {
-            replay.submitted(offer.destination, taken.flow);
+            replay.submitted(submission.destination, accepted.message);
         }
-        let handed_in = Submission {
-            destination: offer.destination,
-            time_left: offer.time_left,
-            class: offer.class,
+        let message = Submission {
+            destination: submission.destination,
+            time_left: submission.time_left,
+            class: submission.class,
             key: None,
-            tenant: offer.tenant,
-            resubmitted: offer.again,
+            tenant: submission.tenant,
+            resubmitted: submission.resubmitted,
         };
-        self.events.push(Event::Message(taken.flow, handed_in));
-        self.open(taken);
+        self.events.push(Event::Message(accepted.message, message));
+        self.add_message(accepted);
         None
     }
 
-    pub(super) fn open(&mut self, taken: Taken) {
-        let class = self.directory.classes.index_of(taken.class);
-        let tenant = match self.directory.tenants.index_of(taken.tenant) {
-            Some(place) => place,
+    pub(super) fn add_message(&mut self, accepted: AcceptedMessage) {
+        let class = self.directory.classes.index_of(accepted.class);
+        let tenant = match self.directory.tenants.index_of(accepted.tenant) {
+            Some(index) => index,
             None => {
-                // A journal may go by a number whose name is lost: it gets a place that nothing is taken on for.
+                // The journal may refer to a number whose name is lost. It gets an index for which nothing is
+                // accepted.
                 let directory = Rc::make_mut(&mut self.directory);
-                let name = format!("(number {})", taken.tenant);
-                directory.tenants.declare(NumberedName { number: taken.tenant, name });
+                let name = format!("(number {})", accepted.tenant);
+                directory.tenants.declare(NumberedName { number: accepted.tenant, name });
                 self.counts.resize(directory.tenants.len(), Counts::default());
-                directory.tenants.index_of(taken.tenant).unwrap_or_default()
+                directory.tenants.index_of(accepted.tenant).unwrap_or_default()
             }
         };
-        self.live += room(&taken);
-        self.open += 1;
+        self.live_bytes += stored_size(&accepted);
+        self.open_count += 1;
         self.counts[tenant].open += 1;
-        self.intake.add_message(tenant);
-        self.intake.add_bytes(tenant, room(&taken));
-        self.known.insert(name(&taken), taken.flow);
-        let number = taken.flow;
-        let (attempts, may_have_run, out, end) = (0, None, None, None);
-        self.flows.insert(number, Flow { taken, class, tenant, attempts, may_have_run, out, end });
+        self.admission.add_message(tenant);
+        self.admission.add_bytes(tenant, stored_size(&accepted));
+        self.ids.insert(scoped_id(&accepted), accepted.message);
+        let number = accepted.message;
+        let (attempts, may_have_run, call, outcome) = (0, None, None, None);
+        self.messages
+            .insert(number, HeldMessage { accepted, class, tenant, attempts, may_have_run, call, outcome });
     }
 
-    pub(super) fn drop_flow(&mut self, number: MessageId) {
-        let Some(flow) = self.flows.remove(&number) else { return };
+    pub(super) fn drop_message(&mut self, number: MessageId) {
+        let Some(message) = self.messages.remove(&number) else { return };
         if let Some(replay) = &mut self.replay {
-            replay.sent_or_ended(DestinationId(flow.taken.destination), number);
+            replay.sent_or_ended(DestinationId(message.accepted.destination), number);
         }
-        if flow.end.is_none() {
-            self.open -= 1;
-            self.counts[flow.tenant].open -= 1;
-            self.intake.remove_message(flow.tenant);
+        if message.outcome.is_none() {
+            self.open_count -= 1;
+            self.counts[message.tenant].open -= 1;
+            self.admission.remove_message(message.tenant);
         }
-        self.live -= room(&flow.taken);
-        self.intake.release_bytes(flow.tenant, room(&flow.taken));
-        let name = name(&flow.taken);
-        self.known.remove(&name);
-        if let Some((end, at)) = flow.end {
-            self.memory.add(flow.taken.tenant, name, end, at);
+        self.live_bytes -= stored_size(&message.accepted);
+        self.admission.release_bytes(message.tenant, stored_size(&message.accepted));
+        let name = scoped_id(&message.accepted);
+        self.ids.remove(&name);
+        if let Some((outcome, at)) = message.outcome {
+            self.memory.add(message.accepted.tenant, name, outcome, at);
         }
     }
 
-    /// The module ends a flow: an offer of this turn is turned down, an older flow is told its end.
-    pub(super) fn give_up(&mut self, id: MessageId, end: End) {
-        let Some(token) = self.fresh.remove(&id) else { return self.end(id, end) };
-        let retry_after = if let End::Deferred(after) = end { after } else { COME_AGAIN };
-        self.turn_down(id, token, retry_after);
+    /// The dispatcher gives a message up: a submission of this iteration is rejected, an older message ends.
+    pub(super) fn reject_or_end(&mut self, id: MessageId, outcome: FinalOutcome) {
+        let Some(token) = self.new_submissions.remove(&id) else { return self.end_message(id, outcome) };
+        let retry_after =
+            if let FinalOutcome::Deferred(after) = outcome { after } else { DEFAULT_RETRY_AFTER };
+        self.reject(id, token, retry_after);
     }
 
-    pub(super) fn turn_down(&mut self, id: MessageId, token: Token, retry_after: Micros) {
-        let Some(flow) = self.flows.get(&id) else { return };
-        self.counts[flow.tenant].turned_down += 1;
-        self.sums.turned_down += 1;
-        self.outputs.push(Output::Reply(token, flow.taken.front, Reply::TurnDown(retry_after)));
-        let class = flow.class;
+    pub(super) fn reject(&mut self, id: MessageId, token: Token, retry_after: Micros) {
+        let Some(message) = self.messages.get(&id) else { return };
+        self.counts[message.tenant].rejected += 1;
+        self.totals.rejected += 1;
+        self.outputs.push(Output::Reply(token, message.accepted.front, Reply::Rejected(retry_after)));
+        let class = message.class;
         self.count(class, |figures| figures.declined += 1);
-        self.drop_flow(id);
+        self.drop_message(id);
     }
 
-    /// The journal could not be written: offers are turned down, and calls not begun.
-    pub(super) fn take_back(&mut self, fresh: BTreeMap<MessageId, Token>, calls: Vec<CallId>) {
+    /// Undoes an iteration whose records could not be written: rejects its submissions and ends its calls
+    /// unsent.
+    pub(super) fn revert_iteration(&mut self, submissions: BTreeMap<MessageId, Token>, calls: Vec<CallId>) {
         for number in calls {
-            let places = self.calls.get(&number).map_or(0, |call| call.items.len());
-            for place in 0..places {
-                self.settle(number, place, AttemptOutcome::NotSent, false);
+            let item_count = self.calls.get(&number).map_or(0, |call| call.items.len());
+            for index in 0..item_count {
+                self.end_attempt(number, index, AttemptOutcome::NotSent, false);
             }
         }
         self.records.clear();
-        for (id, token) in fresh {
+        for (id, token) in submissions {
             self.events.push(Event::Withdrawn(id));
-            self.turn_down(id, token, COME_AGAIN);
+            self.reject(id, token, DEFAULT_RETRY_AFTER);
         }
     }
 }
--- a/src/engine/memory.rs
+++ b/src/engine/memory.rs
@@ -1,131 +1,141 @@
-//! Flows that ended lately: a repeat of an id is answered, not redone.
+//! Final outcomes of recently ended messages: a repeated id is answered from here and not delivered again.
 
-use crate::journal::End;
+use crate::journal::FinalOutcome;
 use crate::Micros;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Longer than any class's deadline: by then nobody repeats an id.
-const KEEP: Micros = Micros(120_000_000);
-/// What a name takes in the journal besides its own bytes, about.
-const OVERHEAD: u64 = 56;
+/// Time for which an outcome is kept: longer than any class's deadline, so clients no longer repeat the id by
+/// then.
+const RETENTION: Micros = Micros(120_000_000);
+/// Approximate size of a journal record without the bytes of its id.
+const RECORD_OVERHEAD: u64 = 56;
 
-/// The space in which an id names one flow (see [`space`](crate::engine::space)), and the id.
-pub type Name = (u32, Rc<[u8]>);
+/// The scope in which an id is unique (see [`id_scope_number`](crate::engine::id_scope_number)), and the id.
+pub type ScopedId = (u32, Rc<[u8]>);
 
-/// Whose ends they are: a tenant's number, or [`NOBODY`].
+/// The owner of an outcome: a tenant's number, or [`NO_OWNER`].
 pub type Owner = u32;
-/// Of ends that a journal of a version before this remembers without their tenant.
-pub const NOBODY: Owner = u32::MAX;
+/// Owner of the outcomes that a journal of an older version holds without their tenant.
+pub const NO_OWNER: Owner = u32::MAX;
 
 #[derive(Default)]
-struct Owned {
-    order: VecDeque<(Name, Micros)>,
+struct OwnerOutcomes {
+    order: VecDeque<(ScopedId, Micros)>,
     bytes: u64,
 }
 
-/// A bounded memory of ends. Where it is full, the oldest go of whoever has most: a tenant that ends much puts nothing out
-/// of memory that another's clients may still repeat, as long as that one has less.
+/// A bounded store of final outcomes. When it is full, the oldest outcomes of the owner that uses most bytes
+/// are evicted: a tenant with many messages does not evict the outcomes of a tenant that uses less, whose
+/// clients may still repeat them.
 ///
-/// Cost: O(log tenants) an end.
-pub struct Memory {
-    ends: HashMap<Name, (End, Micros)>,
-    of: HashMap<Owner, Owned>,
-    /// When the oldest end of each was.
+/// Cost: O(log tenants) for each outcome.
+pub struct OutcomeMemory {
+    outcomes: HashMap<ScopedId, (FinalOutcome, Micros)>,
+    by_owner: HashMap<Owner, OwnerOutcomes>,
+    /// Owners by the time of their oldest outcome.
     oldest: BTreeSet<(Micros, Owner)>,
-    /// What each takes.
+    /// Owners by the bytes that they use.
     largest: BTreeSet<(u64, Owner)>,
     bytes: u64,
     bound: u64,
 }
 
-impl Memory {
-    /// Holds names for so many bytes of the journal at most.
-    pub fn new(bound: u64) -> Memory {
+impl OutcomeMemory {
+    /// Creates a store whose outcomes take at most `bound` bytes of the journal.
+    pub fn new(bound: u64) -> OutcomeMemory {
         let (oldest, largest) = (BTreeSet::new(), BTreeSet::new());
-        Memory { ends: HashMap::new(), of: HashMap::new(), oldest, largest, bytes: 0, bound }
+        OutcomeMemory { outcomes: HashMap::new(), by_owner: HashMap::new(), oldest, largest, bytes: 0, bound }
     }
 
-    /// Another bound counts from now on.
-    pub fn rebound(&mut self, bound: u64) {
+    /// Changes the bound, and evicts what no longer fits.
+    pub fn set_limit(&mut self, bound: u64) {
         self.bound = bound;
-        self.trim(Micros(0));
+        self.evict(Micros(0));
     }
 
-    /// What it takes in the journal.
+    /// Bytes that the outcomes take in the journal.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Remembers an end.
-    pub fn add(&mut self, owner: Owner, name: Name, end: End, at: Micros) {
-        self.ends.insert(name.clone(), (end, at));
-        self.change(owner, |owned| {
-            owned.bytes += size(&name);
-            owned.order.push_back((name, at));
+    /// Adds an outcome.
+    pub fn add(&mut self, owner: Owner, id: ScopedId, outcome: FinalOutcome, at: Micros) {
+        self.outcomes.insert(id.clone(), (outcome, at));
+        self.update(owner, |outcomes| {
+            outcomes.bytes += size(&id);
+            outcomes.order.push_back((id, at));
         });
-        self.trim(at);
+        self.evict(at);
     }
 
-    /// Changes what is one's, and keeps the sums and orders that depend on it.
-    fn change<T>(&mut self, owner: Owner, deed: impl FnOnce(&mut Owned) -> T) -> T {
-        let owned = self.of.entry(owner).or_default();
-        if let Some((_, at)) = owned.order.front() {
+    /// Updates the outcomes of an owner together with the sums and indexes that depend on them.
+    fn update<T>(&mut self, owner: Owner, update: impl FnOnce(&mut OwnerOutcomes) -> T) -> T {
+        let outcomes = self.by_owner.entry(owner).or_default();
+        if let Some((_, at)) = outcomes.order.front() {
             self.oldest.remove(&(*at, owner));
-            self.largest.remove(&(owned.bytes, owner));
+            self.largest.remove(&(outcomes.bytes, owner));
         }
-        self.bytes -= owned.bytes;
-        let told = deed(owned);
-        self.bytes += owned.bytes;
-        match owned.order.front() {
+        self.bytes -= outcomes.bytes;
+        let result = update(outcomes);
+        self.bytes += outcomes.bytes;
+        match outcomes.order.front() {
             Some((_, at)) => {
                 self.oldest.insert((*at, owner));
-                self.largest.insert((owned.bytes, owner));
+                self.largest.insert((outcomes.bytes, owner));
             }
-            None => drop(self.of.remove(&owner)),
+            None => drop(self.by_owner.remove(&owner)),
         }
-        told
+        result
     }
 
-    fn trim(&mut self, at: Micros) {
+    fn evict(&mut self, at: Micros) {
         loop {
-            let aged = self.oldest.first().filter(|(since, _)| at.minus(*since) >= KEEP).map(|aged| aged.1);
-            let most = self.largest.last().filter(|_| self.bytes > self.bound).map(|most| most.1);
-            let Some(owner) = aged.or(most) else { return };
-            let gone = self.change(owner, |owned| {
-                let gone = owned.order.pop_front();
-                owned.bytes -= gone.as_ref().map_or(0, |(name, _)| size(name));
-                gone
+            let expired = self
+                .oldest
+                .first()
+                .filter(|(since, _)| at.minus(*since) >= RETENTION)
+                .map(|expired| expired.1);
+            let largest = self.largest.last().filter(|_| self.bytes > self.bound).map(|largest| largest.1);
+            let Some(owner) = expired.or(largest) else { return };
+            let evicted = self.update(owner, |outcomes| {
+                let evicted = outcomes.order.pop_front();
+                outcomes.bytes -= evicted.as_ref().map_or(0, |(id, _)| size(id));
+                evicted
             });
-            // The same id may have ended again since.
-            if let Some((name, since)) = gone {
-                if self.ends.get(&name).is_some_and(|known| known.1 == since) {
-                    self.ends.remove(&name);
+            // Another message with the same id may have ended since.
+            if let Some((id, since)) = evicted {
+                if self.outcomes.get(&id).is_some_and(|known| known.1 == since) {
+                    self.outcomes.remove(&id);
                 }
             }
         }
     }
 
-    /// How a flow of this name ended. A deferred one is forgotten once it was to come again.
-    pub fn recall(&self, name: &Name, now: Micros) -> Option<End> {
-        match self.ends.get(name) {
-            Some(&(End::Deferred(again), at)) if at.plus(again) <= now => None,
-            known => known.map(|&(end, _)| end),
+    /// The final outcome of the message with this id. A deferred one no longer counts once its retry-after
+    /// has passed.
+    pub fn outcome_of(&self, id: &ScopedId, now: Micros) -> Option<FinalOutcome> {
+        match self.outcomes.get(id) {
+            Some(&(FinalOutcome::Deferred(retry_after), at)) if at.plus(retry_after) <= now => None,
+            known => known.map(|&(outcome, _)| outcome),
         }
     }
 
-    /// All of it with its owners, the oldest of each first.
-    pub fn iter(&self) -> impl Iterator<Item = (Owner, &Name, End, Micros)> {
-        let all = self.of.iter().flat_map(|(&owner, owned)| owned.order.iter().map(move |one| (owner, one)));
-        let current = all.filter_map(|(owner, (name, at))| Some((owner, name, *at, self.ends.get(name)?)));
+    /// All outcomes with their owners, the oldest of each owner first.
+    pub fn iter(&self) -> impl Iterator<Item = (Owner, &ScopedId, FinalOutcome, Micros)> {
+        let all = self
+            .by_owner
+            .iter()
+            .flat_map(|(&owner, outcomes)| outcomes.order.iter().map(move |one| (owner, one)));
+        let current = all.filter_map(|(owner, (id, at))| Some((owner, id, *at, self.outcomes.get(id)?)));
         current
             .filter(|(.., at, known)| known.1 == *at)
-            .map(|(owner, name, at, known)| (owner, name, known.0, at))
+            .map(|(owner, id, at, known)| (owner, id, known.0, at))
     }
 }
 
-fn size(name: &Name) -> u64 {
-    name.1.len() as u64 + OVERHEAD
+fn size(id: &ScopedId) -> u64 {
+    id.1.len() as u64 + RECORD_OVERHEAD
 }
 
 #[cfg(test)]
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -1,11 +1,12 @@
-//! What the journal holds of the core's state: the records of a snapshot, and which names a start goes on with. It writes
-//! nothing itself.
+//! Journal records of the engine's state: the records of a snapshot, and the names that are kept at a start.
+//! This module writes nothing itself.
 
 use super::*;
 
-/// The names that a start goes on with: those of the configuration, those that flows go by, and of each kind the last
-/// that was given a number, so that none is given again. All others are forgotten here, as nowhere else.
-pub(super) fn kept_names(records: &[Record], core: &Core) -> BTreeSet<(bool, u32)> {
+/// The names that are kept at a start, as (is a tenant, number): those of the configuration, those that
+/// messages refer to, and of each kind the one with the highest number, so that no number is assigned again.
+/// All others are dropped; this is the only place where names are dropped.
+pub(super) fn names_to_keep(records: &[Record], core: &Core) -> BTreeSet<(bool, u32)> {
     let mut kept = BTreeSet::new();
     let (mut last, mut configured) = ([None; 2], BTreeSet::new());
     configured.extend(core.classes.iter().map(|name| (false, name.as_bytes())));
@@ -15,7 +16,7 @@
     }
     for record in records {
         match record {
-            Record::Taken(taken) => kept.extend([(false, taken.class), (true, taken.tenant)]),
+            Record::Accepted(accepted) => kept.extend([(false, accepted.class), (true, accepted.tenant)]),
             Record::Paused { tenant, .. } => {
                 kept.insert((true, *tenant));
             }
@@ -37,47 +38,51 @@
     Record::Named { tenant, number: named.number, name: named.name.as_bytes().into() }
 }
 
-/// Whether the front wants to hear of an end.
-pub(super) fn owed(taken: &Taken, end: End) -> bool {
-    match end {
-        End::Over => false,
-        End::Delivered => taken.tell_delivered,
-        End::Undeliverable | End::Deferred(_) => true,
+/// Whether the front is owed a report of this outcome.
+pub(super) fn needs_report(accepted: &AcceptedMessage, outcome: FinalOutcome) -> bool {
+    match outcome {
+        FinalOutcome::Closed => false,
+        FinalOutcome::Delivered => accepted.report_delivery,
+        FinalOutcome::Undeliverable | FinalOutcome::Deferred(_) => true,
     }
 }
 
-/// All that must outlast a compaction. Retired names stay: their numbers are not to be given again.
+/// All records that a compaction keeps. Retired names stay, so that their numbers are not assigned again.
 pub(super) fn snapshot(
     directory: &Directory,
-    flows: &BTreeMap<MessageId, Flow>,
+    messages: &BTreeMap<MessageId, HeldMessage>,
     calls: &BTreeMap<CallId, Call>,
-    memory: &Memory,
+    memory: &OutcomeMemory,
     paused: &BTreeSet<u32>,
 ) -> Vec<Record> {
     let mut records: Vec<Record> =
         directory.classes.iter().map(|(named, _)| named_record(false, named)).collect();
     records.extend(directory.tenants.iter().map(|(named, _)| named_record(true, named)));
     let remembered = memory.iter();
-    records.extend(remembered.map(|(owner, (space, id), end, at)| Record::Remembered {
-        owner: (owner != memory::NOBODY).then_some(owner),
-        space: *space,
+    records.extend(remembered.map(|(owner, (id_scope, id), outcome, at)| Record::Remembered {
+        owner: (owner != memory::NO_OWNER).then_some(owner),
+        id_scope: *id_scope,
         id: id.clone(),
         at,
-        end,
+        outcome,
     }));
     records.extend(paused.iter().map(|&tenant| Record::Paused { tenant, paused: true }));
-    for (&number, flow) in flows {
-        let out = flow.out.and_then(|call| calls.get(&call));
-        let attempts = flow.attempts - u32::from(out.is_some());
-        records.push(Record::Taken(flow.taken.clone()));
-        if flow.attempts > 0 {
-            records.push(Record::Past { flow: number, attempts, may_have_run: flow.may_have_run });
+    for (&number, message) in messages {
+        let out = message.call.and_then(|call| calls.get(&call));
+        let attempts = message.attempts - u32::from(out.is_some());
+        records.push(Record::Accepted(message.accepted.clone()));
+        if message.attempts > 0 {
+            records.push(Record::AttemptSummary {
+                message: number,
+                attempts,
+                may_have_run: message.may_have_run,
+            });
         }
         if let Some(call) = out {
-            records.push(Record::Sent { flow: number, at: call.sent_at, endpoint: call.endpoint });
+            records.push(Record::Sent { message: number, at: call.sent_at, endpoint: call.endpoint });
         }
-        if let Some((end, at)) = flow.end {
-            records.push(Record::Ended { flow: number, at, end });
+        if let Some((outcome, at)) = message.outcome {
+            records.push(Record::Ended { message: number, at, outcome });
         }
     }
     records
--- a/src/engine/restart.rs
+++ b/src/engine/restart.rs
@@ -1,99 +1,106 @@
-//! A start's first steps in the core: the journal's flows go on, all at once or bit by bit (see `startup::replay`).
+//! Start of the engine: the messages in the journal are resumed, all at once or gradually (see
+//! `startup::replay`).
 
 use super::*;
 
-/// How the flows that a journal held go on.
+/// How the messages recovered from a journal are resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resume {
-    /// All in the first turn, as where nothing is known of others that start.
+    /// All in the first iteration. Used where it is not known whether other forwarders start.
     AtOnce,
-    /// Behind what clients hand in, at a pace that the members starting share.
+    /// After what clients submit, at a rate that the starting members share.
     Paced,
 }
 
 impl Engine {
-    /// Replays the journal in `folder` and goes on with what it holds; `cached` is the list as last known.
+    /// Replays the journal in the folder and resumes its messages. `cached` is the cached endpoint list.
     pub fn start(
         core: &Core,
         seed: u64,
-        place: (&Path, u64),
+        folder: (&Path, u64),
         now: Micros,
         cached: Vec<EndpointRecord>,
         resume: Resume,
     ) -> Engine {
-        let mut engine = Engine::replayed(core, seed, place, now, cached, Directory::default());
-        engine.flows.values_mut().for_each(|flow| flow.out = None);
-        engine.end_strange();
-        // What may have run is decided on at once, what never ran may wait.
-        let waits =
-            |flow: &Flow| resume == Resume::Paced && flow.end.is_none() && flow.may_have_run.is_none();
-        let held: Vec<_> = engine
-            .flows
+        let mut engine = Engine::from_journal(core, seed, folder, now, cached, Directory::default());
+        engine.messages.values_mut().for_each(|message| message.call = None);
+        engine.end_messages_with_changed_effect();
+        // A message that may have run is passed on at once. One that never ran may wait.
+        let may_wait = |message: &HeldMessage| {
+            resume == Resume::Paced && message.outcome.is_none() && message.may_have_run.is_none()
+        };
+        let waiting: Vec<_> = engine
+            .messages
             .iter()
-            .filter(|(_, flow)| waits(flow))
-            .map(|(&id, flow)| (DestinationId(flow.taken.destination), flow.taken.deadline, id))
+            .filter(|(_, message)| may_wait(message))
+            .map(|(&id, message)| {
+                (DestinationId(message.accepted.destination), message.accepted.deadline, id)
+            })
             .collect();
-        let behind: BTreeSet<MessageId> = held.iter().map(|one| one.2).collect();
-        engine.resume(|number| behind.contains(&number));
-        engine.replay = (!held.is_empty()).then(|| Replay::new(engine.now, seed ^ now.0, held.into_iter()));
-        if !engine.flows.is_empty() {
-            let (open, owed) = (engine.open, engine.flows.len() - engine.open);
-            engine
-                .outputs
-                .push(Output::Log(format!("journal replayed: {open} flows open, {owed} ends owed")));
+        let waiting_ids: BTreeSet<MessageId> = waiting.iter().map(|one| one.2).collect();
+        engine.restore_messages(|number| waiting_ids.contains(&number));
+        engine.replay =
+            (!waiting.is_empty()).then(|| Replay::new(engine.now, seed ^ now.0, waiting.into_iter()));
+        if !engine.messages.is_empty() {
+            let (open, unreported) = (engine.open_count, engine.messages.len() - engine.open_count);
+            engine.outputs.push(Output::Log(format!(
+                "journal replayed: {open} messages open, {unreported} outcomes to report"
+            )));
         }
-        engine.possess();
+        engine.claim_journal();
         engine
     }
 
-    pub(super) fn replay(&mut self, record: Record, by_place: bool) {
+    pub(super) fn apply_record(&mut self, record: Record, by_index: bool) {
         match record {
-            Record::Taken(taken) => {
-                self.next_flow = self.next_flow.max(taken.flow.0.wrapping_add(1));
-                self.open(taken);
+            Record::Accepted(accepted) => {
+                self.next_message = self.next_message.max(accepted.message.0.wrapping_add(1));
+                self.add_message(accepted);
             }
-            Record::Sent { flow, at, endpoint } => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    flow.attempts += 1;
-                    flow.out = flow.may_have_run.is_none().then_some(0);
-                    flow.may_have_run.get_or_insert((at, endpoint));
+            Record::Sent { message, at, endpoint } => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    message.attempts += 1;
+                    message.call = message.may_have_run.is_none().then_some(0);
+                    message.may_have_run.get_or_insert((at, endpoint));
                 }
             }
-            Record::NeverRan(flow) => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    // Only the attempt that set it can take it back.
-                    if flow.out.take().is_some() {
-                        flow.may_have_run = None;
+            Record::NeverRan(message) => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    // Only the attempt that set `may_have_run` can clear it.
+                    if message.call.take().is_some() {
+                        message.may_have_run = None;
                     }
                 }
             }
-            Record::Past { flow, attempts, may_have_run } => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    (flow.attempts, flow.may_have_run) = (attempts, may_have_run);
+            Record::AttemptSummary { message, attempts, may_have_run } => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    (message.attempts, message.may_have_run) = (attempts, may_have_run);
                 }
             }
-            Record::Ended { flow, at, end } => {
-                if let Some(flow) = self.flows.get_mut(&flow) {
-                    if flow.end.is_none() {
-                        self.open -= 1;
-                        self.counts[flow.tenant].open -= 1;
-                        self.intake.remove_message(flow.tenant);
+            Record::Ended { message, at, outcome } => {
+                if let Some(message) = self.messages.get_mut(&message) {
+                    if message.outcome.is_none() {
+                        self.open_count -= 1;
+                        self.counts[message.tenant].open -= 1;
+                        self.admission.remove_message(message.tenant);
                     }
-                    flow.end = Some((end, at));
-                    if !owed(&flow.taken, end) {
-                        let number = flow.taken.flow;
-                        self.drop_flow(number);
+                    message.outcome = Some((outcome, at));
+                    if !needs_report(&message.accepted, outcome) {
+                        let number = message.accepted.message;
+                        self.drop_message(number);
                     }
                 }
             }
-            Record::Told(flow) => self.drop_flow(flow),
-            Record::Remembered { owner, space, id, at, end } => {
-                let first = by_place && space & FIRST_FRONT_SPACES != 0;
-                let space = if first { space ^ FIRST_FRONT_SPACES | FRONT_SPACES } else { space };
-                // A tenant's space is its number; whose an end in a front's space was, an older journal does not tell.
-                let of_space = if space < FRONT_SPACES { space } else { memory::NOBODY };
-                let owner = owner.unwrap_or(of_space);
-                self.memory.add(owner, (space, id), end, at);
+            Record::Reported(message) => self.drop_message(message),
+            Record::Remembered { owner, id_scope, id, at, outcome } => {
+                let is_format_1 = by_index && id_scope & FORMAT_1_FRONT_SCOPES != 0;
+                let id_scope =
+                    if is_format_1 { id_scope ^ FORMAT_1_FRONT_SCOPES | FRONT_SCOPES } else { id_scope };
+                // The scope of a tenant is its number. For a scope of a front, an older journal does not
+                // contain the owner.
+                let scope_owner = if id_scope < FRONT_SCOPES { id_scope } else { memory::NO_OWNER };
+                let owner = owner.unwrap_or(scope_owner);
+                self.memory.add(owner, (id_scope, id), outcome, at);
             }
             Record::Paused { tenant, paused: true } => {
                 self.paused.insert(tenant);
@@ -105,12 +112,12 @@
         }
     }
 
-    /// The folder is this process's from now on: the journal is written anew, with what is live.
-    pub fn possess(&mut self) {
+    /// Takes over the state folder: the journal is rewritten with the live data.
+    pub fn claim_journal(&mut self) {
         self.journal.claim();
-        let live = snapshot(&self.directory, &self.flows, &self.calls, &self.memory, &self.paused);
+        let live = snapshot(&self.directory, &self.messages, &self.calls, &self.memory, &self.paused);
         match self.journal.compact(&live) {
-            // What the replay ended is in it.
+            // The snapshot contains the outcomes from the replay.
             Ok(()) => self.records.clear(),
             Err(problem) => {
                 self.outputs.push(Output::Log(format!("journal not written at the start: {problem}")));
@@ -118,54 +125,67 @@
         }
     }
 
-    /// After the replay: ends the flows whose settings have changed since. Under another effect, what may have run could be
-    /// sent a second time.
-    pub(super) fn end_strange(&mut self) -> Vec<MessageId> {
-        let told = |class: Option<usize>| self.settings.classes.get(class?).map(|c| effect_code(c.effect));
-        let strange = |flow: &&Flow| flow.end.is_none() && told(flow.class) != Some(flow.taken.effect);
-        let strange: Vec<MessageId> =
-            self.flows.values().filter(strange).map(|flow| flow.taken.flow).collect();
-        for &number in &strange {
-            let ran =
-                self.flows.get(&number).is_some_and(|flow| flow.may_have_run.is_some() || flow.out.is_some());
-            self.end(number, if ran { End::Undeliverable } else { End::Deferred(COME_AGAIN) });
+    /// After the replay, ends the messages whose class has another effect now. Under the new effect, a
+    /// message that may have run could be sent a second time.
+    pub(super) fn end_messages_with_changed_effect(&mut self) -> Vec<MessageId> {
+        let present_effect =
+            |class: Option<usize>| self.settings.classes.get(class?).map(|c| effect_code(c.effect));
+        let changed = |message: &&HeldMessage| {
+            message.outcome.is_none() && present_effect(message.class) != Some(message.accepted.effect)
+        };
+        let changed: Vec<MessageId> =
+            self.messages.values().filter(changed).map(|message| message.accepted.message).collect();
+        for &number in &changed {
+            let may_have_run = self
+                .messages
+                .get(&number)
+                .is_some_and(|message| message.may_have_run.is_some() || message.call.is_some());
+            self.end_message(
+                number,
+                if may_have_run {
+                    FinalOutcome::Undeliverable
+                } else {
+                    FinalOutcome::Deferred(DEFAULT_RETRY_AFTER)
+                },
+            );
         }
-        // All ends that are owed, these too, are told below.
+        // `restore_messages` reports all owed outcomes, these included.
         self.outputs.clear();
-        strange
+        changed
     }
 
-    /// Hands open flows to the module, but those that it knows, and the ends that are owed to their fronts.
-    pub(super) fn resume(&mut self, known: impl Fn(MessageId) -> bool) {
-        for (&number, flow) in &self.flows {
-            if let Some((end, _)) = flow.end {
-                self.outputs.push(tell(flow, end));
+    /// Passes the open messages to the dispatcher, except those that it knows, and the owed outcomes to their
+    /// fronts.
+    pub(super) fn restore_messages(&mut self, known: impl Fn(MessageId) -> bool) {
+        for (&number, message) in &self.messages {
+            if let Some((outcome, _)) = message.outcome {
+                self.outputs.push(outcome_report(message, outcome));
             } else if !known(number) {
-                self.events.push(restored(number, flow, self.now));
+                self.events.push(restored_event(number, message, self.now));
             }
         }
     }
 
-    /// So many members start, this one among them: what the journal held goes on at a pace that they share. Nothing changes
-    /// where it was handed over all at once.
-    pub fn starts_among(&mut self, starting: usize) {
+    /// Sets the number of members that are starting, this one included: the recovered messages are resumed at
+    /// a rate that these members share. Has no effect if all were resumed at once.
+    pub fn set_starting_members(&mut self, starting: usize) {
         if let Some(replay) = &mut self.replay {
             replay.set_starting(starting);
         }
     }
 
-    /// Some of what the journal held still waits.
-    pub fn replays(&self) -> bool {
+    /// Whether some recovered messages are not resumed yet.
+    pub fn is_replaying(&self) -> bool {
         self.replay.is_some()
     }
 
-    /// Hands the module what is due of what the journal held.
-    pub(super) fn replay_some(&mut self) {
+    /// Passes the recovered messages that are due to the dispatcher.
+    pub(super) fn release_replayed(&mut self) {
         let Some(replay) = &mut self.replay else { return };
         for number in replay.release(self.now) {
-            // It may have ended meanwhile: nobody wanted it any more.
-            let flow = self.flows.get(&number).filter(|flow| flow.end.is_none());
-            self.events.extend(flow.map(|flow| restored(number, flow, self.now)));
+            // The message may have ended meanwhile, because its client no longer wants it.
+            let message = self.messages.get(&number).filter(|message| message.outcome.is_none());
+            self.events.extend(message.map(|message| restored_event(number, message, self.now)));
         }
         if self.replay.as_ref().is_some_and(Replay::is_empty) {
             self.replay = None;
@@ -173,16 +193,16 @@
     }
 }
 
-/// A flow of the journal for the module.
-fn restored(number: MessageId, flow: &Flow, now: Micros) -> Event {
-    let handed_in = Submission {
-        destination: DestinationId(flow.taken.destination),
-        time_left: flow.taken.deadline.minus(now),
-        class: flow.class.unwrap_or_default(),
+/// The event that passes a recovered message to the dispatcher.
+fn restored_event(number: MessageId, message: &HeldMessage, now: Micros) -> Event {
+    let submission = Submission {
+        destination: DestinationId(message.accepted.destination),
+        time_left: message.accepted.deadline.minus(now),
+        class: message.class.unwrap_or_default(),
         key: None,
-        tenant: flow.tenant,
+        tenant: message.tenant,
         resubmitted: true,
     };
-    let past = AttemptHistory { attempts: flow.attempts, may_have_run: flow.may_have_run };
-    Event::Restored(number, handed_in, past)
+    let history = AttemptHistory { attempts: message.attempts, may_have_run: message.may_have_run };
+    Event::Restored(number, submission, history)
 }
