--- a/src/net/admin/changes.rs
+++ b/src/net/admin/changes.rs
@@ -13,11 +13,11 @@
 use std::collections::BTreeMap;
 
 /// Changes that wait at most.
-pub const MOST_WAITING: usize = 64;
+pub const MAX_QUEUED_CHANGES: usize = 64;
 
 /// A change that somebody asks for.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum ChangeRequest {
     /// Keep a candidate.
     Stage(String),
     /// Put a document, or the candidate, in force.
@@ -46,29 +46,29 @@
 
 /// An ask, with who waits for its answer.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct QueuedChange {
     /// The connection.
     pub connection: u64,
     /// By whom.
     pub who: String,
     /// What.
-    pub ask: Ask,
+    pub ask: ChangeRequest,
 }
 
 /// What a request comes to: an answer, or a change to wait for.
-pub enum Verdict {
+pub enum Handling {
     /// Told at once.
-    Now(Answer),
+    Answered(Answer),
     /// To be carried out.
-    Later(Ask),
+    Queued(ChangeRequest),
 }
 
-fn now(status: u16, value: &Value) -> Verdict {
-    Verdict::Now(Answer::json(status, value))
+fn now(status: u16, value: &Value) -> Handling {
+    Handling::Answered(Answer::json(status, value))
 }
 
 /// An answer that tells what is wrong (RFC 9457).
-pub fn problem(status: u16, title: &str, problems: &Problems, version: Option<u64>) -> Answer {
+pub fn problem_answer(status: u16, title: &str, problems: &Problems, version: Option<u64>) -> Answer {
     let mut body = json!({"type": "about:blank", "title": title, "status": status, "detail": problems.to_string(),
         "problems": problems.list()});
     if let Some(version) = version {
@@ -78,7 +78,7 @@
 }
 
 /// A refusal as an answer.
-pub fn refused(refusal: &Refusal, version: u64) -> Answer {
+pub fn refusal_answer(refusal: &Refusal, version: u64) -> Answer {
     let title = match refusal.status {
         404 => "No such version",
         409 => "In conflict with what is in force",
@@ -88,11 +88,11 @@
         503 => "Not now",
         _ => "Not possible",
     };
-    problem(refusal.status, title, &refusal.problems, Some(version))
+    problem_answer(refusal.status, title, &refusal.problems, Some(version))
 }
 
-fn simple(status: u16, what: &str, remedy: &str) -> Verdict {
-    Verdict::Now(refused(&Refusal::new(status, what, remedy), 0))
+fn simple(status: u16, what: &str, remedy: &str) -> Handling {
+    Handling::Answered(refusal_answer(&Refusal::new(status, what, remedy), 0))
 }
 
 fn version(one: &Version) -> Value {
@@ -101,7 +101,7 @@
 }
 
 /// What the history with these says of the version in force.
-pub fn status(change_service: &ChangeService, at: Micros) -> Value {
+pub fn version_status(change_service: &ChangeService, at: Micros) -> Value {
     let versions = change_service.versions();
     let mut told = versions.current().map_or(json!({}), version);
     told["trial_left_ms"] = change_service.window_left(at).map(|left| left.0 / 1000).into();
@@ -113,7 +113,7 @@
 }
 
 /// Answers a request to `/v1/config...`; `rest` is what follows in the path.
-pub fn answer(request: &Request, rest: &[&str], change_service: &ChangeService, at: Micros) -> Verdict {
+pub fn answer(request: &Request, rest: &[&str], change_service: &ChangeService, at: Micros) -> Handling {
     let query = request.target.split_once('?').map_or("", |(_, query)| query);
     let query: BTreeMap<String, String> = pairs(query).collect();
     let body = || match String::from_utf8(request.body.clone()) {
@@ -128,13 +128,13 @@
     let number = change_service.versions().number();
     match (request.method.as_str(), rest) {
         ("GET", []) => {
-            let mut told = status(change_service, at);
+            let mut told = version_status(change_service, at);
             let values = change_service
                 .outline()
                 .iter()
                 .map(|(path, shown)| (path.clone(), Value::from(shown.text.clone())));
             told["values"] = Value::Object(values.collect());
-            Verdict::Now(Answer { etag: Some(number), ..Answer::json(200, &told) })
+            Handling::Answered(Answer { etag: Some(number), ..Answer::json(200, &told) })
         }
         ("GET", ["versions"]) => now(200, &change_service.versions().iter().rev().map(version).collect()),
         ("GET", ["versions", one]) => {
@@ -150,11 +150,11 @@
             };
             match change_service.diff(&document, &DiskFiles) {
                 Ok(differences) => now(200, &json!({"version": number, "differences": differences})),
-                Err(refusal) => Verdict::Now(refused(&refusal, number)),
+                Err(refusal) => Handling::Answered(refusal_answer(&refusal, number)),
             }
         }
         ("POST", ["stage"]) => match body {
-            Some(document) => Verdict::Later(Ask::Stage(document)),
+            Some(document) => Handling::Queued(ChangeRequest::Stage(document)),
             None => simple(422, "no candidate", "send one as the body"),
         },
         ("POST", ["apply"]) => {
@@ -177,9 +177,9 @@
                 Err(told) => return told,
             };
             let why = query.get("why").cloned().unwrap_or_default();
-            Verdict::Later(Ask::Apply { document: body, from, why, trial })
+            Handling::Queued(ChangeRequest::Apply { document: body, from, why, trial })
         }
-        ("POST", ["confirm"]) => Verdict::Later(Ask::Confirm),
+        ("POST", ["confirm"]) => Handling::Queued(ChangeRequest::Confirm),
         ("POST", ["undo"]) => {
             let to = match query.get("to").map(|to| to.parse()) {
                 Some(Err(_)) => return simple(422, "to is no version", "name a number of the history"),
@@ -189,18 +189,18 @@
             let from =
                 request.headers.get("If-Match").and_then(|tag| tag.trim().trim_matches('"').parse().ok());
             let why = query.get("why").cloned().unwrap_or_default();
-            Verdict::Later(Ask::Undo { to, from, why })
+            Handling::Queued(ChangeRequest::Undo { to, from, why })
         }
         (_, [] | ["versions"] | ["versions", _])
         | (_, ["check" | "diff" | "stage" | "apply" | "confirm" | "undo"]) => {
-            Verdict::Now(Answer::empty(405))
+            Handling::Answered(Answer::empty(405))
         }
-        _ => Verdict::Now(Answer::empty(404)),
+        _ => Handling::Answered(Answer::empty(404)),
     }
 }
 
 /// `confirm_within_s` asks for a confirmation; `probation_s` for good service alone. Bounds go with either.
-fn trial(query: &BTreeMap<String, String>) -> Result<Option<Trial>, Verdict> {
+fn trial(query: &BTreeMap<String, String>) -> Result<Option<Trial>, Handling> {
     let number = |key: &str, most: f64| match query.get(key).map(|text| text.parse::<f64>()) {
         None => Ok(None),
         Some(Ok(number)) if number > 0.0 && number <= most => Ok(Some(number)),
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -15,7 +15,7 @@
 use crate::journal::End;
 use crate::tenancy::rate::ArrivalLimiter;
 use crate::{Lifecycle, Micros};
-use changes::{Ask, Asked, Verdict};
+use changes::{ChangeRequest, Handling, QueuedChange};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 
@@ -33,7 +33,7 @@
 
 /// What there is to see.
 #[derive(Clone, Copy)]
-pub struct View<'a> {
+pub struct ApiContext<'a> {
     /// The core.
     pub engine: &'a Engine,
     /// The service entries.
@@ -194,28 +194,28 @@
         &mut self,
         poll: &Poll,
         token: u64,
-        view: View,
+        context: ApiContext,
         inputs: &mut Vec<Input>,
-        asks: &mut impl Extend<Asked>,
+        asks: &mut impl Extend<QueuedChange>,
         waiting: usize,
     ) {
         let Some(one) = self.connections.get_mut(&token) else { return };
-        one.used_at = view.now;
+        one.used_at = context.now;
         if one.stream.ready(poll).is_err() || one.stream.input.len() > LONGEST_BODY + 2 * http::LONGEST_HEAD {
             self.connections.remove(&token);
             return;
         }
-        self.read(poll, token, view, inputs, asks, waiting);
+        self.read_requests(poll, token, context, inputs, asks, waiting);
     }
 
     /// Reads what has come on a connection, up to the next change.
-    pub fn read(
+    pub fn read_requests(
         &mut self,
         poll: &Poll,
         token: u64,
-        view: View,
+        context: ApiContext,
         inputs: &mut Vec<Input>,
-        asks: &mut impl Extend<Asked>,
+        asks: &mut impl Extend<QueuedChange>,
         waiting: usize,
     ) {
         loop {
@@ -242,24 +242,24 @@
                     let known = places.reduce(|_, known| known).map(|(place, known)| (place, known.clone()));
                     one.who = known.as_ref().map(|(_, known)| known.clone());
                     let verdict = match known {
-                        None => Verdict::Now(Answer::empty(401)),
-                        Some((place, known)) => match self.requests.admit(place, view.now) {
-                            Ok(()) => self.answer(&request, &known, view, inputs),
-                            Err(wait) => Verdict::Now(too_many(wait)),
+                        None => Handling::Answered(Answer::empty(401)),
+                        Some((place, known)) => match self.requests.admit(place, context.now) {
+                            Ok(()) => self.answer(&request, &known, context, inputs),
+                            Err(wait) => Handling::Answered(too_many(wait)),
                         },
                     };
                     match verdict {
-                        Verdict::Now(answer) => self.send(poll, token, answer),
-                        Verdict::Later(_) if waiting >= changes::MOST_WAITING => {
+                        Handling::Answered(answer) => self.send(poll, token, answer),
+                        Handling::Queued(_) if waiting >= changes::MAX_QUEUED_CHANGES => {
                             let told = format!("{waiting} changes wait already");
                             let refusal = crate::config::desk::Refusal::new(503, told, "come again");
                             self.send(
                                 poll,
                                 token,
-                                changes::refused(&refusal, view.change_service.versions().number()),
+                                changes::refusal_answer(&refusal, context.change_service.versions().number()),
                             );
                         }
-                        Verdict::Later(ask) => self.wait(token, ask, asks),
+                        Handling::Queued(ask) => self.wait(token, ask, asks),
                     }
                 }
             }
@@ -269,15 +269,15 @@
         }
     }
 
-    fn wait(&mut self, connection: u64, ask: Ask, asks: &mut impl Extend<Asked>) {
+    fn wait(&mut self, connection: u64, ask: ChangeRequest, asks: &mut impl Extend<QueuedChange>) {
         let Some(one) = self.connections.get_mut(&connection) else { return };
         one.asked = true;
         let who = one.who.as_ref().map_or(String::new(), |token| token.name.clone());
-        asks.extend([Asked { connection, who, ask }]);
+        asks.extend([QueuedChange { connection, who, ask }]);
     }
 
     /// A change was carried out, or not.
-    pub fn told(&mut self, poll: &Poll, connection: u64, answer: Answer) {
+    pub fn complete_change(&mut self, poll: &Poll, connection: u64, answer: Answer) {
         if let Some(one) = self.connections.get_mut(&connection) {
             one.asked = false;
             self.send(poll, connection, answer);
@@ -307,26 +307,32 @@
         }
     }
 
-    fn answer(&self, request: &Request, who: &Token, view: View, inputs: &mut Vec<Input>) -> Verdict {
+    fn answer(
+        &self,
+        request: &Request,
+        who: &Token,
+        context: ApiContext,
+        inputs: &mut Vec<Input>,
+    ) -> Handling {
         let path = request.target.split('?').next().unwrap_or_default();
         let parts: Vec<&str> = path.split('/').skip(1).collect();
-        let tenants = &view.engine.directory().tenants;
+        let tenants = &context.engine.directory().tenants;
         // A token of a tenant that is gone sees nothing.
         let scope = who.tenant.as_ref().map(|name| tenants.active_index(name).unwrap_or(usize::MAX));
         let sees = |tenant: usize| scope.is_none_or(|own| own == tenant);
         let named = |name: &str| tenants.active_index(name).filter(|&t| sees(t));
         let list = |items: Vec<String>| Answer::text(format!("[{}]\n", items.join(",")));
-        Verdict::Now(match (request.method.as_str(), &parts[..]) {
+        Handling::Answered(match (request.method.as_str(), &parts[..]) {
             // The configuration belongs to no tenant.
             (_, ["v1", "config", ..]) if scope.is_some() => Answer::empty(403),
             (_, ["v1", "config", rest @ ..]) => {
-                return changes::answer(request, rest, view.change_service, view.now)
+                return changes::answer(request, rest, context.change_service, context.now)
             }
             ("GET", ["v1", "tenants"]) => {
-                list(tenants.active().filter(|&t| sees(t)).map(|t| self.tenant(t, view)).collect())
+                list(tenants.active().filter(|&t| sees(t)).map(|t| self.tenant(t, context)).collect())
             }
             ("GET", ["v1", "tenants", name]) => match named(name) {
-                Some(tenant) => Answer::text(self.tenant(tenant, view) + "\n"),
+                Some(tenant) => Answer::text(self.tenant(tenant, context) + "\n"),
                 None => Answer::empty(404),
             },
             ("POST", ["v1", "tenants", name, verb @ ("pause" | "resume")]) => match named(name) {
@@ -337,14 +343,14 @@
                 }
                 None => Answer::empty(404),
             },
-            ("GET", ["v1", "flows"]) => list(self.flows(view, sees)),
+            ("GET", ["v1", "flows"]) => list(self.flows(context, sees)),
             ("GET", ["v1", "counts"]) => {
-                let own = scope.map(|tenant| view.engine.tenant(tenant).0);
-                Answer::text(format!("{{{}}}\n", counts(&own.unwrap_or(view.engine.sums()))))
+                let own = scope.map(|tenant| context.engine.tenant(tenant).0);
+                Answer::text(format!("{{{}}}\n", counts(&own.unwrap_or(context.engine.sums()))))
             }
             // The list belongs to no tenant.
             ("GET", ["v1", "entries"]) if scope.is_some() => Answer::empty(403),
-            ("GET", ["v1", "entries"]) => list(entries(view.book)),
+            ("GET", ["v1", "entries"]) => list(entries(context.book)),
             (_, ["v1", "tenants" | "flows" | "counts" | "entries"])
             | (_, ["v1", "tenants", _])
             | (_, ["v1", "tenants", _, "pause" | "resume"]) => Answer::empty(405),
@@ -352,11 +358,11 @@
         })
     }
 
-    fn tenant(&self, tenant: usize, view: View) -> String {
-        let (told, paused) = view.engine.tenant(tenant);
+    fn tenant(&self, tenant: usize, context: ApiContext) -> String {
+        let (told, paused) = context.engine.tenant(tenant);
         let open = told.open;
-        let name = escape(view.engine.directory().tenants.name(tenant));
-        let shares = view.engine.shares(tenant).map(|(name, used, bounds)| {
+        let name = escape(context.engine.directory().tenants.name(tenant));
+        let shares = context.engine.shares(tenant).map(|(name, used, bounds)| {
             let (own, most) = (bounds.guarantee, bounds.ceiling);
             format!("\"{name}\":{{\"used\":{used},\"guarantee\":{own},\"ceiling\":{most}}}")
         });
@@ -367,9 +373,9 @@
         )
     }
 
-    fn flows(&self, view: View, sees: impl Fn(usize) -> bool) -> Vec<String> {
-        let names = view.engine.directory();
-        let seen = view.engine.flows().filter(|flow| sees(flow.tenant)).take(MOST_FLOWS);
+    fn flows(&self, context: ApiContext, sees: impl Fn(usize) -> bool) -> Vec<String> {
+        let names = context.engine.directory();
+        let seen = context.engine.flows().filter(|flow| sees(flow.tenant)).take(MOST_FLOWS);
         let line = seen.map(|flow| {
             let state = match flow.end {
                 Some(End::Delivered) => "delivered",
@@ -398,7 +404,10 @@
     let seconds = wait.0.div_ceil(1_000_000).max(1);
     let problem =
         Problem::new("", "requests with this token come too fast", format!("come again in {seconds} s"));
-    Answer { retry_after: Some(seconds), ..changes::problem(429, "too many requests", &problem.into(), None) }
+    Answer {
+        retry_after: Some(seconds),
+        ..changes::problem_answer(429, "too many requests", &problem.into(), None)
+    }
 }
 
 fn entries(book: &Book) -> Vec<String> {
--- a/src/net/amqp.rs
+++ b/src/net/amqp.rs
@@ -7,7 +7,7 @@
 /// Largest frame that either side may send here.
 pub const FRAME_MAX: u32 = 131_072;
 /// Bytes of a frame round its payload.
-const ROUND: usize = 8;
+const FRAME_OVERHEAD: usize = 8;
 const FRAME_END: u8 = 0xCE;
 
 /// Class and method.
@@ -86,13 +86,13 @@
 }
 
 /// Reads a frame from the front of `input`, and tells how many bytes it took.
-pub fn read(input: &[u8], frame_max: u32) -> Result<Option<(Frame, usize)>, Fault> {
+pub fn read_frame(input: &[u8], frame_max: u32) -> Result<Option<(Frame, usize)>, Fault> {
     let mut head = Args(input);
     let (Ok(kind), Ok(channel), Ok(size)) = (head.octet(), head.short(), head.long()) else {
         return Ok(None);
     };
     let size = size as usize;
-    if size + ROUND > frame_max as usize {
+    if size + FRAME_OVERHEAD > frame_max as usize {
         return fault(501, "frame too large");
     }
     let Some(payload) = head.0.get(..size) else { return Ok(None) };
@@ -112,11 +112,11 @@
         8 => Content::Heartbeat,
         _ => return fault(501, "unknown frame type"),
     };
-    Ok(Some((Frame { channel, content }, size + ROUND)))
+    Ok(Some((Frame { channel, content }, size + FRAME_OVERHEAD)))
 }
 
 /// Writes one frame.
-fn write(out: &mut Vec<u8>, kind: u8, channel: u16, payload: &[u8]) {
+fn write_frame(out: &mut Vec<u8>, kind: u8, channel: u16, payload: &[u8]) {
     out.push(kind);
     out.extend(channel.to_be_bytes());
     out.extend((payload.len() as u32).to_be_bytes());
@@ -124,13 +124,13 @@
     out.push(FRAME_END);
 }
 
-/// Writes a method; `args` are built with [`Args`]' counterparts on `Vec<u8>`, see [`Put`].
+/// Writes a method; `args` are built with [`Args`]' counterparts on `Vec<u8>`, see [`PutArgument`].
 pub fn write_method(out: &mut Vec<u8>, channel: u16, method: Method, args: &[u8]) {
     let mut payload = Vec::with_capacity(args.len() + 4);
     payload.put_short(method.0);
     payload.put_short(method.1);
     payload.extend(args);
-    write(out, 1, channel, &payload);
+    write_frame(out, 1, channel, &payload);
 }
 
 /// Writes a content: header and body frames.
@@ -140,22 +140,22 @@
     payload.put_short(0);
     payload.extend((body.len() as u64).to_be_bytes());
     properties.write(&mut payload);
-    write(out, 2, channel, &payload);
-    for part in body.chunks(frame_max as usize - ROUND) {
-        write(out, 3, channel, part);
+    write_frame(out, 2, channel, &payload);
+    for part in body.chunks(frame_max as usize - FRAME_OVERHEAD) {
+        write_frame(out, 3, channel, part);
     }
 }
 
 /// Writes a sign of life.
 pub fn write_heartbeat(out: &mut Vec<u8>) {
-    write(out, 8, 0, &[]);
+    write_frame(out, 8, 0, &[]);
 }
 
 /// Writes the close of a connection (channel 0) or of a channel.
 pub fn write_close(out: &mut Vec<u8>, channel: u16, Fault(code, text): &Fault, cause: Method) {
     let mut args = Vec::new();
     args.put_short(*code);
-    args.put_name(text.as_bytes());
+    args.put_short_string(text.as_bytes());
     args.put_short(cause.0);
     args.put_short(cause.1);
     let method = if channel == 0 { method::CLOSE } else { method::CHANNEL_CLOSE };
@@ -163,7 +163,7 @@
 }
 
 /// Appends arguments.
-pub trait Put {
+pub trait PutArgument {
     /// Two bytes.
     fn put_short(&mut self, value: u16);
     /// Four bytes.
@@ -171,14 +171,14 @@
     /// Eight bytes.
     fn put_long_long(&mut self, value: u64);
     /// A short string.
-    fn put_name(&mut self, text: &[u8]);
+    fn put_short_string(&mut self, text: &[u8]);
     /// A long string.
-    fn put_text(&mut self, text: &[u8]);
+    fn put_long_string(&mut self, text: &[u8]);
     /// A table of text values.
     fn put_table(&mut self, fields: &[(String, Value)]);
 }
 
-impl Put for Vec<u8> {
+impl PutArgument for Vec<u8> {
     fn put_short(&mut self, value: u16) {
         self.extend(value.to_be_bytes());
     }
@@ -191,13 +191,13 @@
         self.extend(value.to_be_bytes());
     }
 
-    fn put_name(&mut self, text: &[u8]) {
+    fn put_short_string(&mut self, text: &[u8]) {
         let text = &text[..text.len().min(255)];
         self.push(text.len() as u8);
         self.extend(text);
     }
 
-    fn put_text(&mut self, text: &[u8]) {
+    fn put_long_string(&mut self, text: &[u8]) {
         self.put_long(text.len() as u32);
         self.extend(text);
     }
@@ -205,11 +205,11 @@
     fn put_table(&mut self, fields: &[(String, Value)]) {
         let mut table = Vec::new();
         for (name, value) in fields {
-            table.put_name(name.as_bytes());
+            table.put_short_string(name.as_bytes());
             match value {
                 Value::Text(text) => {
                     table.push(b'S');
-                    table.put_text(text);
+                    table.put_long_string(text);
                 }
                 Value::Number(number) => {
                     table.push(b'l');
@@ -223,7 +223,7 @@
                 Value::Other => table.push(b'V'),
             }
         }
-        self.put_text(&table);
+        self.put_long_string(&table);
     }
 }
 
@@ -246,7 +246,7 @@
 pub struct Args<'a>(pub &'a [u8]);
 
 impl<'a> Args<'a> {
-    fn some(&mut self, length: usize) -> Result<&'a [u8], Fault> {
+    fn take(&mut self, length: usize) -> Result<&'a [u8], Fault> {
         let Some((taken, rest)) = self.0.split_at_checked(length) else {
             return fault(502, "arguments cut short");
         };
@@ -256,7 +256,7 @@
 
     fn number<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
         let mut bytes = [0; N];
-        bytes.copy_from_slice(self.some(N)?);
+        bytes.copy_from_slice(self.take(N)?);
         Ok(bytes)
     }
 
@@ -281,21 +281,21 @@
     }
 
     /// A short string.
-    pub fn name(&mut self) -> Result<&'a [u8], Fault> {
+    pub fn short_string(&mut self) -> Result<&'a [u8], Fault> {
         let length = self.octet()?;
-        self.some(length.into())
+        self.take(length.into())
     }
 
     /// The same, which must be UTF-8.
-    pub fn name_text(&mut self) -> Result<String, Fault> {
-        let name = self.name()?.to_vec();
+    pub fn short_string_utf8(&mut self) -> Result<String, Fault> {
+        let name = self.short_string()?.to_vec();
         String::from_utf8(name).or_else(|_| fault(502, "a name is not UTF-8"))
     }
 
     /// A long string.
-    pub fn text(&mut self) -> Result<&'a [u8], Fault> {
+    pub fn long_string(&mut self) -> Result<&'a [u8], Fault> {
         let length = self.long()?;
-        self.some(length as usize)
+        self.take(length as usize)
     }
 
     /// A table.
@@ -308,10 +308,10 @@
         if depth > 8 {
             return fault(502, "table nested too deep");
         }
-        let mut inner = Args(self.text()?);
+        let mut inner = Args(self.long_string()?);
         let mut fields = Vec::new();
         while !inner.0.is_empty() {
-            let name = inner.name_text()?;
+            let name = inner.short_string_utf8()?;
             fields.push((name, inner.value(depth)?));
         }
         Ok(fields)
@@ -327,13 +327,13 @@
             b'I' => Value::Number((self.long()? as i32).into()),
             b'i' => Value::Number(self.long()?.into()),
             b'l' | b'L' | b'T' => Value::Number(self.long_long()? as i64),
-            b'S' => Value::Text(self.text()?.to_vec()),
+            b'S' => Value::Text(self.long_string()?.to_vec()),
             b'F' => Value::Table(self.nested_table(depth + 1)?),
             b'V' => Value::Other,
-            b'f' => self.some(4).map(|_| Value::Other)?,
-            b'd' => self.some(8).map(|_| Value::Other)?,
-            b'D' => self.some(5).map(|_| Value::Other)?,
-            b'A' | b'x' => self.text().map(|_| Value::Other)?,
+            b'f' => self.take(4).map(|_| Value::Other)?,
+            b'd' => self.take(8).map(|_| Value::Other)?,
+            b'D' => self.take(5).map(|_| Value::Other)?,
+            b'A' | b'x' => self.long_string().map(|_| Value::Other)?,
             _ => return fault(502, "unknown type in a table"),
         })
     }
@@ -381,7 +381,7 @@
                 0x0800 => drop(args.octet()?),
                 0x0040 => drop(args.long_long()?),
                 _ => {
-                    let name = args.name()?;
+                    let name = args.short_string()?;
                     if let Some(kept) = properties.name(bit) {
                         *kept = Some(name.into());
                     }
@@ -419,7 +419,7 @@
         }
         out.extend(self.delivery_mode);
         for name in names.iter().filter_map(|(_, name)| name.as_ref()) {
-            out.put_name(name);
+            out.put_short_string(name);
         }
     }
 
@@ -433,37 +433,41 @@
     }
 }
 
-/// The two times that a connection keeps: when it last heard, and when it last said something.
+/// The two times that a connection keeps: when it last last_received, and when it last last_sent something.
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
-    every: crate::Micros,
-    /// Last heard.
-    pub heard: crate::Micros,
-    /// Last said.
-    pub said: crate::Micros,
+pub struct HeartbeatTimer {
+    interval: crate::Micros,
+    /// Last last_received.
+    pub last_received: crate::Micros,
+    /// Last last_sent.
+    pub last_sent: crate::Micros,
 }
 
-impl Pulse {
+impl HeartbeatTimer {
     /// From now on, with the interval agreed; 0 means none.
-    pub fn new(seconds: u16, now: crate::Micros) -> Pulse {
-        Pulse { every: crate::Micros(u64::from(seconds) * 1_000_000), heard: now, said: now }
+    pub fn new(seconds: u16, now: crate::Micros) -> HeartbeatTimer {
+        HeartbeatTimer {
+            interval: crate::Micros(u64::from(seconds) * 1_000_000),
+            last_received: now,
+            last_sent: now,
+        }
     }
 
     /// The other side has been silent for two intervals.
-    pub fn dead(&self, now: crate::Micros) -> bool {
-        self.every.0 > 0 && now.minus(self.heard).0 >= 2 * self.every.0
+    pub fn has_expired(&self, now: crate::Micros) -> bool {
+        self.interval.0 > 0 && now.minus(self.last_received).0 >= 2 * self.interval.0
     }
 
     /// A heartbeat is to be sent.
-    pub fn wanted(&self, now: crate::Micros) -> bool {
-        self.every.0 > 0 && now.minus(self.said).0 >= self.every.0 / 2
+    pub fn is_send_due(&self, now: crate::Micros) -> bool {
+        self.interval.0 > 0 && now.minus(self.last_sent).0 >= self.interval.0 / 2
     }
 
     /// When either may be.
-    pub fn due(&self) -> Option<crate::Micros> {
-        let half = crate::Micros(self.every.0 / 2);
-        let dead = crate::Micros(2 * self.every.0);
-        (self.every.0 > 0).then(|| self.said.plus(half).min(self.heard.plus(dead)))
+    pub fn next_due(&self) -> Option<crate::Micros> {
+        let half = crate::Micros(self.interval.0 / 2);
+        let dead = crate::Micros(2 * self.interval.0);
+        (self.interval.0 > 0).then(|| self.last_sent.plus(half).min(self.last_received.plus(dead)))
     }
 }
 
--- a/src/net/amqp/tests.rs
+++ b/src/net/amqp/tests.rs
@@ -12,7 +12,7 @@
     let mut out = Vec::new();
     write_content(&mut out, 3, &properties, &[5; 5000], 4096);
     let mut frames = Vec::new();
-    while let Some((frame, used)) = read(&out, 4096).unwrap() {
+    while let Some((frame, used)) = read_frame(&out, 4096).unwrap() {
         out.drain(..used);
         frames.push(frame);
     }
@@ -27,11 +27,11 @@
 #[test]
 fn a_pulse_wants_a_heartbeat_at_half_its_interval_and_is_dead_at_two() {
     let at = |seconds: u64| crate::Micros(seconds * 1_000_000);
-    let pulse = Pulse::new(20, at(100));
-    assert!(!pulse.wanted(at(109)) && pulse.wanted(at(110)));
-    assert!(!pulse.dead(at(139)) && pulse.dead(at(140)));
-    let none = Pulse::new(0, at(100));
-    assert!(!none.wanted(at(9999)) && !none.dead(at(9999)) && none.due().is_none());
+    let heartbeats = HeartbeatTimer::new(20, at(100));
+    assert!(!heartbeats.is_send_due(at(109)) && heartbeats.is_send_due(at(110)));
+    assert!(!heartbeats.has_expired(at(139)) && heartbeats.has_expired(at(140)));
+    let none = HeartbeatTimer::new(0, at(100));
+    assert!(!none.is_send_due(at(9999)) && !none.has_expired(at(9999)) && none.next_due().is_none());
 }
 
 #[test]
@@ -46,18 +46,18 @@
             bytes[3..7].copy_from_slice(&size.to_be_bytes());
             *bytes.last_mut().unwrap() = FRAME_END;
         }
-        let _ = read(&bytes, 4096);
+        let _ = read_frame(&bytes, 4096);
     }
 }
 
 #[test]
 fn damaged_frames_are_faults_and_never_panics() {
-    assert_eq!(read(&[1, 0, 0, 0, 0, 0, 4, 0, 10, 0, 10, 0], 4096).unwrap_err().0, 501);
-    assert_eq!(read(&[1, 0, 0, 255, 0, 0, 4], 4096).unwrap_err().0, 501);
-    assert_eq!(read(&[9, 0, 0, 0, 0, 0, 0, 0xCE], 4096).unwrap_err().0, 501);
-    assert_eq!(read(&[1, 0, 0, 0, 0, 0, 1, 7, 0xCE], 4096).unwrap_err().0, 502);
+    assert_eq!(read_frame(&[1, 0, 0, 0, 0, 0, 4, 0, 10, 0, 10, 0], 4096).unwrap_err().0, 501);
+    assert_eq!(read_frame(&[1, 0, 0, 255, 0, 0, 4], 4096).unwrap_err().0, 501);
+    assert_eq!(read_frame(&[9, 0, 0, 0, 0, 0, 0, 0xCE], 4096).unwrap_err().0, 501);
+    assert_eq!(read_frame(&[1, 0, 0, 0, 0, 0, 1, 7, 0xCE], 4096).unwrap_err().0, 502);
     let deep = b"\x02\0\0\0\x09\x01aF\0\0\0\x00".repeat(40);
     let mut args = Vec::new();
-    args.put_text(&deep);
+    args.put_long_string(&deep);
     assert!(Args(&args).table().is_err());
 }
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -1,10 +1,10 @@
 //! Puts changes of the configuration in force, one between two turns: the loop as the target of a transaction. Asks come
 //! from the administration API, from SIGHUP, and from a trial that is over.
 
-use super::admin::changes::{refused, status, Ask, Asked};
+use super::admin::changes::{refusal_answer, version_status, ChangeRequest, QueuedChange};
 use super::admin::{Admin, Answer};
-use super::clients::amqp::Front;
-use super::clients::PUBLISHERS;
+use super::clients::amqp::AmqpFront;
+use super::clients::AMQP_FRONT;
 use super::list::dns_sd::DnsSd;
 use super::members::{self, Members};
 use super::node::{entry, idle_time, Node};
@@ -199,8 +199,8 @@
                 (Some(listener), None) => {
                     let directory = node.engine.directory().clone();
                     let logins = self.to.publishers.clone();
-                    node.publishers = Some(Front::new(listener, logins, directory, self.now));
-                    node.engine.tell_again(PUBLISHERS);
+                    node.publishers = Some(AmqpFront::new(listener, logins, directory, self.now));
+                    node.engine.tell_again(AMQP_FRONT);
                 }
                 (None, _) => node.publishers = None,
             },
@@ -299,12 +299,12 @@
             if let Err(refusal) = confirmed.and_then(|versions| self.keep(versions)) {
                 log!("configuration cannot be confirmed: {}", refusal.problems);
             }
-        } else if let Some(Asked { connection, who, ask }) = self.asks.pop_front() {
+        } else if let Some(QueuedChange { connection, who, ask }) = self.asks.pop_front() {
             let told = self.carry_out_ask(ask, who, now);
             let number = self.change_service.versions().number();
             let answer = match told {
                 Ok(answer) => Answer { etag: Some(number), ..answer },
-                Err(refusal) => refused(&refusal, number),
+                Err(refusal) => refusal_answer(&refusal, number),
             };
             self.administer(connection, now, Some(answer));
         } else {
@@ -315,18 +315,18 @@
         }
     }
 
-    fn carry_out_ask(&mut self, ask: Ask, who: String, now: Micros) -> Result<Answer, Refusal> {
+    fn carry_out_ask(&mut self, ask: ChangeRequest, who: String, now: Micros) -> Result<Answer, Refusal> {
         if self.life.leaves() {
             return Err(Refusal::new(503, "the process is stopping", "ask the one that follows"));
         }
-        let told = |node: &Node| Answer::json(200, &status(&node.change_service, now));
+        let told = |node: &Node| Answer::json(200, &version_status(&node.change_service, now));
         match ask {
-            Ask::Stage(document) => {
+            ChangeRequest::Stage(document) => {
                 let versions = self.change_service.stage(document, who, now, &DiskFiles)?;
                 pass("stage");
                 self.keep(versions)?;
             }
-            Ask::Apply { document, from, why, trial } => {
+            ChangeRequest::Apply { document, from, why, trial } => {
                 let staged = || self.change_service.versions().staged().map(|staged| staged.document.clone());
                 let Some(document) = document.or_else(staged) else {
                     return Err(Refusal::new(409, "no candidate is staged", "stage one, or send one"));
@@ -336,18 +336,18 @@
                 let began = Instant::now();
                 let differences = self.change(change, now)?;
                 let took = began.elapsed();
-                let mut status = status(&self.change_service, now);
+                let mut status = version_status(&self.change_service, now);
                 status["differences"] = json!(differences);
                 // How long nothing else went on, from the check to the last commit.
                 status["took_us"] = json!(took.as_micros() as u64);
                 return Ok(Answer::json(200, &status));
             }
-            Ask::Confirm => {
+            ChangeRequest::Confirm => {
                 let versions = self.change_service.confirm()?;
                 log!("configuration {} confirmed by {who}", versions.number());
                 self.keep(versions)?;
             }
-            Ask::Undo { to, from, why } => {
+            ChangeRequest::Undo { to, from, why } => {
                 let Some(to) = to.or(self.change_service.previous_version()) else {
                     return Err(Refusal::new(
                         404,
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -7,13 +7,13 @@
 mod methods;
 mod publishing;
 
-use super::PUBLISHERS;
+use super::AMQP_FRONT;
 use crate::config::model::Publisher as Login;
 use crate::directory::Directory;
 use crate::engine::{Input, Offer, Reply, Token};
 use crate::journal::{End, Space};
 use crate::net::amqp::{
-    self, fault, method, Args, Content, Fault, Frame, Method, Properties, Pulse, Put, Value,
+    self, fault, method, Args, Content, Fault, Frame, HeartbeatTimer, Method, Properties, PutArgument, Value,
 };
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::{self, Stream};
@@ -101,7 +101,7 @@
     frame_max: u32,
     channel_max: u16,
     began: Micros,
-    pulse: Pulse,
+    heartbeats: HeartbeatTimer,
     channels: BTreeMap<u16, Channel>,
     out: Vec<u8>,
 }
@@ -117,7 +117,7 @@
 }
 
 /// See the module's text.
-pub struct Front {
+pub struct AmqpFront {
     listener: TcpListener,
     credentials: Vec<Login>,
     directory: Rc<Directory>,
@@ -131,7 +131,7 @@
     pub listener_failures: u64,
 }
 
-impl Front {
+impl AmqpFront {
     /// Another address, which the poll waits for already. Who is connected stays so: a connection is long, and none of
     /// what it is owed is lost by waiting.
     pub fn move_to(&mut self, listener: TcpListener) {
@@ -163,8 +163,8 @@
         credentials: Vec<Login>,
         directory: Rc<Directory>,
         now: Micros,
-    ) -> Front {
-        Front {
+    ) -> AmqpFront {
+        AmqpFront {
             listener,
             credentials,
             directory,
@@ -204,7 +204,7 @@
                 frame_max: amqp::FRAME_MAX,
                 channel_max: MOST_CHANNELS,
                 began: now,
-                pulse: Pulse::new(0, now),
+                heartbeats: HeartbeatTimer::new(0, now),
                 channels: BTreeMap::new(),
                 out: Vec::new(),
             };
@@ -216,7 +216,7 @@
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
         let Some(publisher) = self.publishers.get_mut(&token) else { return };
         let mut over = publisher.stream.ready(poll).is_err() || publisher.stream.ended;
-        publisher.pulse.heard = now;
+        publisher.heartbeats.last_received = now;
         while !over {
             let Some(publisher) = self.publishers.get_mut(&token) else { return };
             let input = &publisher.stream.input;
@@ -234,7 +234,7 @@
                 publisher.start();
                 continue;
             }
-            let result = match amqp::read(input, publisher.frame_max) {
+            let result = match amqp::read_frame(input, publisher.frame_max) {
                 Ok(None) => break,
                 Ok(Some((frame, used))) => {
                     publisher.stream.input.drain(..used);
@@ -257,7 +257,7 @@
                 }
             }
         }
-        self.pump(inputs);
+        self.push_to_consumers(inputs);
         self.flush(poll, token, now, inputs);
         if over {
             self.lose(token, inputs);
@@ -268,7 +268,7 @@
         let Some(publisher) = self.publishers.get_mut(&token) else { return };
         let out = std::mem::take(&mut publisher.out);
         if !out.is_empty() {
-            publisher.pulse.said = now;
+            publisher.heartbeats.last_sent = now;
             if publisher.stream.send(poll, &out).is_err() {
                 self.lose(token, inputs);
             }
@@ -376,7 +376,7 @@
     }
 
     /// The end of a flow: to its reply queue. Where nobody asked for it, it is told already.
-    pub fn tell(
+    pub fn queue_outcome(
         &mut self,
         flow: MessageId,
         tenant: usize,
@@ -385,7 +385,8 @@
         inputs: &mut Vec<Input>,
     ) {
         let mut origin = Args(origin);
-        let (Ok(exclusive), Ok(name), Ok(correlation)) = (origin.octet(), origin.name(), origin.name())
+        let (Ok(exclusive), Ok(name), Ok(correlation)) =
+            (origin.octet(), origin.short_string(), origin.short_string())
         else {
             return inputs.push(Input::Told(flow));
         };
@@ -399,7 +400,7 @@
     }
 
     /// Hands waiting answers to consumers.
-    pub fn pump(&mut self, inputs: &mut Vec<Input>) {
+    pub fn push_to_consumers(&mut self, inputs: &mut Vec<Input>) {
         for publisher in self.publishers.values_mut().filter(|p| p.stage == Stage::Ready) {
             let (out, frame_max) = (&mut publisher.out, publisher.frame_max);
             for (&number, channel) in &mut publisher.channels {
@@ -411,11 +412,11 @@
                         let Some(answer) = queue.waiting.pop_front() else { break };
                         channel.delivered += 1;
                         let mut head = Vec::new();
-                        head.put_name(&tag);
+                        head.put_short_string(&tag);
                         head.put_long_long(channel.delivered);
                         head.push(answer.redelivered.into());
-                        head.put_name(b"");
-                        head.put_name(&key.1);
+                        head.put_short_string(b"");
+                        head.put_short_string(&key.1);
                         amqp::write_method(out, number, method::DELIVER, &head);
                         write_answer(out, number, &answer, frame_max);
                         hand_over(channel, queue, key.clone(), answer, no_ack, inputs);
@@ -437,21 +438,21 @@
         let mut lost = Vec::new();
         for (&token, publisher) in &mut self.publishers {
             let slow = publisher.stage != Stage::Ready && publisher.began.plus(HANDSHAKE) <= now;
-            if slow || publisher.pulse.dead(now) {
+            if slow || publisher.heartbeats.has_expired(now) {
                 lost.push(token);
-            } else if publisher.pulse.wanted(now) {
+            } else if publisher.heartbeats.is_send_due(now) {
                 amqp::write_heartbeat(&mut publisher.out);
             }
         }
         lost.into_iter().for_each(|token| self.lose(token, inputs));
-        self.pump(inputs);
+        self.push_to_consumers(inputs);
         self.flush_all(poll, now, inputs);
     }
 
-    /// When [`Front::tick`] is due.
+    /// When [`AmqpFront::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
         let due = |publisher: &Publisher| match publisher.stage {
-            Stage::Ready => publisher.pulse.due(),
+            Stage::Ready => publisher.heartbeats.next_due(),
             _ => Some(publisher.began.plus(HANDSHAKE)),
         };
         self.publishers.values().filter_map(due).min()
@@ -469,8 +470,8 @@
             ("version".into(), Value::Text(env!("CARGO_PKG_VERSION").into())),
             ("capabilities".into(), Value::Table(capabilities)),
         ]);
-        args.put_text(b"PLAIN");
-        args.put_text(b"en_US");
+        args.put_long_string(b"PLAIN");
+        args.put_long_string(b"en_US");
         amqp::write_method(&mut self.out, 0, method::START, &args);
     }
 }
@@ -560,7 +561,7 @@
     });
     let offer = Offer {
         token,
-        front: PUBLISHERS,
+        front: AMQP_FRONT,
         space: Space::Tenant,
         tell_delivered: reply.is_some(),
         tenant,
--- a/src/net/clients/amqp/methods.rs
+++ b/src/net/clients/amqp/methods.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Front {
+impl AmqpFront {
     pub(super) fn connection_method(
         &mut self,
         token: u64,
@@ -25,7 +25,7 @@
             (Stage::Closing, _) => {}
             (Stage::StartOk, method::START_OK) => {
                 args.table()?;
-                let (mechanism, response) = (args.name()?, args.text()?);
+                let (mechanism, response) = (args.short_string()?, args.long_string()?);
                 let mut parts = response.split(|&byte| byte == 0);
                 let (_, user, password) = (parts.next(), parts.next(), parts.next());
                 let known = self.credentials.iter().find(|known| {
@@ -56,11 +56,11 @@
                 }
                 publisher.channel_max = if channels == 0 { MOST_CHANNELS } else { channels };
                 publisher.frame_max = if frame == 0 { amqp::FRAME_MAX } else { frame };
-                publisher.pulse = Pulse::new(heartbeat, now);
+                publisher.heartbeats = HeartbeatTimer::new(heartbeat, now);
                 publisher.stage = Stage::Open;
             }
             (Stage::Open, method::OPEN) => {
-                let vhost = args.name_text()?;
+                let vhost = args.short_string_utf8()?;
                 if self.directory.tenants.name(publisher.tenant) != vhost {
                     return fault(530, "no such virtual host for this user");
                 }
@@ -120,7 +120,7 @@
             }
             method::PUBLISH => {
                 args.short()?;
-                let (exchange, _) = (args.name()?, args.name()?);
+                let (exchange, _) = (args.short_string()?, args.short_string()?);
                 let bits = args.octet()?;
                 if bits & 2 != 0 {
                     return fault(540, "immediate is not supported");
@@ -139,11 +139,11 @@
             }
             method::CONSUME => return self.consume(token, number, args),
             method::CANCEL => {
-                let (tag, no_wait) = (args.name()?, args.octet()? & 1 != 0);
+                let (tag, no_wait) = (args.short_string()?, args.octet()? & 1 != 0);
                 channel.consumers.retain(|known| &known.tag[..] != tag);
                 if !no_wait {
                     let mut reply = Vec::new();
-                    reply.put_name(tag);
+                    reply.put_short_string(tag);
                     amqp::write_method(out, number, method::CANCEL_OK, &reply);
                 }
             }
@@ -162,7 +162,7 @@
             return Ok(false);
         };
         args.short()?;
-        let (named, bits) = (args.name()?, args.octet()?);
+        let (named, bits) = (args.short_string()?, args.octet()?);
         let named: Rc<[u8]> = if named.is_empty() {
             self.next_name += 1;
             format!("amq.gen-{:x}", self.next_name).into_bytes().into()
@@ -183,7 +183,7 @@
         let new = Queue { exclusive: exclusive.then_some(token), ..Queue::default() };
         let queue = self.queues.entry(key.clone()).or_insert(new);
         let mut reply = Vec::new();
-        reply.put_name(&named);
+        reply.put_short_string(&named);
         reply.put_long(queue.waiting.len() as u32);
         let consuming = self.publishers.values().flat_map(|p| p.channels.values());
         let consumers = consuming.flat_map(|c| &c.consumers).filter(|consumer| consumer.queue == key).count();
@@ -207,7 +207,7 @@
             return Ok(false);
         };
         args.short()?;
-        let key = (tenant, Rc::from(args.name()?));
+        let key = (tenant, Rc::from(args.short_string()?));
         let bits = args.octet()?;
         if bits & 2 != 0 && self.queues.get(&key).is_some_and(|queue| !queue.waiting.is_empty()) {
             return fault(406, "queue is not empty");
@@ -228,8 +228,8 @@
         let Some(channel) = publisher.channels.get_mut(&number) else { return Ok(false) };
         let (tenant, out) = (publisher.tenant, &mut publisher.out);
         args.short()?;
-        let key = (tenant, Rc::from(args.name()?));
-        let (tag, bits) = (args.name()?, args.octet()?);
+        let key = (tenant, Rc::from(args.short_string()?));
+        let (tag, bits) = (args.short_string()?, args.octet()?);
         if !self.queues.contains_key(&key) {
             return fault(404, "no such queue");
         }
@@ -244,7 +244,7 @@
         }
         if bits & 8 == 0 {
             let mut reply = Vec::new();
-            reply.put_name(&tag);
+            reply.put_short_string(&tag);
             amqp::write_method(out, number, method::CONSUME_OK, &reply);
         }
         channel.consumers.push(Consumer { tag, queue: key, no_ack: bits & 2 != 0 });
@@ -263,7 +263,7 @@
         let Some(channel) = publisher.channels.get_mut(&number) else { return Ok(false) };
         let (tenant, out) = (publisher.tenant, &mut publisher.out);
         args.short()?;
-        let key = (tenant, Rc::from(args.name()?));
+        let key = (tenant, Rc::from(args.short_string()?));
         let no_ack = args.octet()? & 1 != 0;
         let Some(queue) = self.queues.get_mut(&key) else { return fault(404, "no such queue") };
         let Some(answer) = queue.waiting.pop_front() else {
@@ -274,8 +274,8 @@
         let mut head = Vec::new();
         head.put_long_long(channel.delivered);
         head.push(answer.redelivered.into());
-        head.put_name(b"");
-        head.put_name(&key.1);
+        head.put_short_string(b"");
+        head.put_short_string(&key.1);
         head.put_long(queue.waiting.len() as u32);
         amqp::write_method(out, number, method::GET_OK, &head);
         write_answer(out, number, &answer, publisher.frame_max);
--- a/src/net/clients/amqp/publishing.rs
+++ b/src/net/clients/amqp/publishing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Front {
+impl AmqpFront {
     /// A content may be whole now: then it is offered.
     pub(super) fn published(
         &mut self,
@@ -39,8 +39,8 @@
             let exclusive = exclusive.is_some_and(|queue| queue.exclusive.is_some());
             let origin = asked.reply.as_ref().map_or(Vec::new(), |((_, name), correlation)| {
                 let mut origin = vec![exclusive.into()];
-                origin.put_name(name);
-                origin.put_name(correlation);
+                origin.put_short_string(name);
+                origin.put_short_string(correlation);
                 origin
             });
             self.asked.insert(self.next_token, asked);
@@ -74,7 +74,7 @@
                 }
             }
         }
-        self.pump(inputs);
+        self.push_to_consumers(inputs);
         self.flush_all(poll, now, inputs);
     }
 
@@ -106,9 +106,9 @@
             amqp::write_method(&mut publisher.out, asked.channel, name, &args);
         } else if !taken_on && asked.mandatory {
             args.put_short(313);
-            args.put_name(b"turned down");
-            args.put_name(b"");
-            args.put_name(b"");
+            args.put_short_string(b"turned down");
+            args.put_short_string(b"");
+            args.put_short_string(b"");
             amqp::write_method(&mut publisher.out, asked.channel, method::RETURN, &args);
             let properties = Properties { message_id: Some(asked.id.clone()), ..Properties::default() };
             amqp::write_content(&mut publisher.out, asked.channel, &properties, b"", publisher.frame_max);
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -5,6 +5,6 @@
 pub mod platform;
 
 /// Number of the platform's front in the core and in the journal.
-pub const PLATFORM: u8 = 0;
+pub const HTTP_FRONT: u8 = 0;
 /// The same of AMQP's front.
-pub const PUBLISHERS: u8 = 1;
+pub const AMQP_FRONT: u8 = 1;
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's front: one flow a request, over HTTP/1.1.
 
 use super::life::{Late, Life};
-use super::PLATFORM;
+use super::HTTP_FRONT;
 use crate::directory::Directory;
 use crate::engine::{Input, Offer, Reply, Token};
 use crate::journal::{End, Space};
@@ -41,7 +41,7 @@
 
 /// A connection, for the process that follows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HandedEdge {
+pub struct HandedClientConnection {
     stream: HandedStream,
     /// Told by none that was handed over by a version before this.
     #[serde(default)]
@@ -64,7 +64,7 @@
 }
 
 /// See the module's text. Cost of a request or of a turn: some look-ups, however many connections are held.
-pub struct Platform {
+pub struct HttpFront {
     /// None once nobody is let in any more.
     listener: Option<TcpListener>,
     edges: BTreeMap<u64, Edge>,
@@ -82,13 +82,13 @@
     /// What `GET /ready` answers.
     pub is_ready: bool,
     /// What becomes of connections.
-    pub fate: Connections,
+    pub connection_policy: Connections,
 }
 
-impl Platform {
+impl HttpFront {
     /// The poll waits for the listener already; at most so many connections are held.
-    pub fn new(listener: TcpListener, directory: Rc<Directory>, most: usize) -> Platform {
-        Platform {
+    pub fn new(listener: TcpListener, directory: Rc<Directory>, most: usize) -> HttpFront {
+        HttpFront {
             listener: Some(listener),
             edges: BTreeMap::new(),
             ends: BTreeSet::new(),
@@ -99,7 +99,7 @@
             swept_at: Micros(0),
             listener_failures: 0,
             is_ready: false,
-            fate: Connections::Kept,
+            connection_policy: Connections::Kept,
         }
     }
 
@@ -144,18 +144,18 @@
     }
 
     /// How many connections are held.
-    pub fn held(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.edges.len()
     }
 
     /// Bytes of some client wait to be read. Cost: the connections held, near the process's end.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         self.edges.values().any(Edge::unread)
     }
 
     /// Closes so many connections on which nothing is under way, those unused for longest first, at once: their
     /// descriptors are wanted now.
-    pub fn close_some(&mut self, count: usize) {
+    pub fn close_idle(&mut self, count: usize) {
         let oldest: Vec<u64> = self.unused.iter().map(|&(_, token)| token).collect();
         let idle =
             oldest.into_iter().filter(|token| self.edges.get(token).is_some_and(Edge::idle)).take(count);
@@ -163,20 +163,26 @@
     }
 
     /// All connections, for the process that follows. Between two turns no offer is with the core.
-    pub fn hand_over(&self) -> (Vec<HandedEdge>, Vec<BorrowedFd<'_>>) {
+    pub fn hand_over(&self) -> (Vec<HandedClientConnection>, Vec<BorrowedFd<'_>>) {
         let edge = |edge: &'_ Edge| {
             let &Edge { life, leaving, continued, used_at, .. } = edge;
-            HandedEdge { stream: edge.stream.hand_over().0, life: Some(life), leaving, continued, used_at }
+            HandedClientConnection {
+                stream: edge.stream.hand_over().0,
+                life: Some(life),
+                leaving,
+                continued,
+                used_at,
+            }
         };
         let open = || self.edges.values().filter(|edge| !edge.life.answering());
         (open().map(edge).collect(), open().map(|edge| edge.stream.hand_over().1).collect())
     }
 
     /// Goes on with a connection that another process handed over.
-    pub fn follow(&mut self, poll: &mut Poll, handed: HandedEdge, socket: OwnedFd) {
+    pub fn adopt(&mut self, poll: &mut Poll, handed: HandedClientConnection, socket: OwnedFd) {
         let token = poll.token(Peer::Edge);
         let Ok(stream) = Stream::follow(poll, token, handed.stream, socket) else { return };
-        let HandedEdge { life, leaving, continued, used_at, .. } = handed;
+        let HandedClientConnection { life, leaving, continued, used_at, .. } = handed;
         let life = life.unwrap_or(Life::Resting { since: used_at });
         let edge = Edge { stream, life, leaving, continued, used_at, spot: Spot::NONE };
         self.edges.insert(token, edge);
@@ -261,7 +267,7 @@
     }
 
     fn read_on(&mut self, poll: &Poll, token: u64, inputs: &mut Vec<Input>) {
-        let leaving = self.fate != Connections::Kept;
+        let leaving = self.connection_policy != Connections::Kept;
         let Some(edge) = self.edges.get_mut(&token) else { return };
         let now = edge.used_at;
         if (edge.life.answering() || !edge.stream.flushed()) && edge.stream.input.len() > MOST_WAITING {
@@ -339,7 +345,7 @@
     /// The core's reply to an offer. What came meanwhile on the connection is read on.
     pub fn reply(&mut self, poll: &Poll, token: Token, reply: Reply, inputs: &mut Vec<Input>) {
         let Some(edge) = self.edges.get_mut(&token) else { return };
-        edge.life.answered(edge.used_at, edge.leaving || self.fate != Connections::Kept);
+        edge.life.answered(edge.used_at, edge.leaving || self.connection_policy != Connections::Kept);
         let (status, after, body) = match reply {
             Reply::TakenOn => (202, None, ""),
             Reply::TurnDown(after) | Reply::Known(End::Deferred(after)) => (503, Some(after), ""),
@@ -384,7 +390,7 @@
     /// Ends connections whose clients are gone, or slower than they may be.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
         self.close_unused(now);
-        match self.fate {
+        match self.connection_policy {
             Connections::Kept | Connections::EndAnswered => {}
             Connections::EndUnused(unused_for) => self.send_away(now, unused_for),
             Connections::End => {
@@ -410,9 +416,9 @@
         }
     }
 
-    /// When [`Platform::tick`] is due.
+    /// When [`HttpFront::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        let sent_away = match self.fate {
+        let sent_away = match self.connection_policy {
             Connections::EndUnused(_) | Connections::End if !self.edges.is_empty() => {
                 Some(self.swept_at.plus(SWEEP))
             }
@@ -472,7 +478,7 @@
     let class = headers.get("Request-Class").and_then(|name| directory.classes.active_index(name));
     Ok(Offer {
         token,
-        front: PLATFORM,
+        front: HTTP_FRONT,
         // Real servers tell messages of this front apart by their ids alone, whoever's they are.
         space: Space::Front,
         tell_delivered: false,
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -2,7 +2,7 @@
 //! holds its lock, and has a door, a Unix socket, where the next process asks. The steps, and who owns what at each of
 //! them, are told in `docs/operations-design.md`.
 
-use super::clients::platform::HandedEdge;
+use super::clients::platform::HandedClientConnection;
 use super::list::{endpoint_id, Entry, Names};
 use super::members;
 use super::servers::http::HandedConnection;
@@ -79,7 +79,7 @@
     /// Of the membership, whose socket follows the listeners'.
     pub members: Option<members::Handed>,
     /// Clients' connections.
-    pub edges: Vec<HandedEdge>,
+    pub edges: Vec<HandedClientConnection>,
     /// Connections to real servers.
     pub servers: Vec<HandedConnection>,
 }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -127,7 +127,7 @@
                 let fleet = Fleet { alive, all: up + suspect + dead };
                 match request::read(&body, &fleet, self.agent.ledger().0, now) {
                     Ok(round) => Change::Ask(round),
-                    Err(problems) => return Some(Answer::told(400, &json!({ "problems": problems }))),
+                    Err(problems) => return Some(Answer::json(400, &json!({ "problems": problems }))),
                 }
             }
         };
@@ -273,17 +273,17 @@
 
 /// How staff hear what became of what they asked for.
 fn answer(change: &Change, result: &Result<Ledger, Failure>) -> Answer {
-    let problem = |status, text: &str| Answer::told(status, &json!({ "problems": [text] }));
+    let problem = |status, text: &str| Answer::json(status, &json!({ "problems": [text] }));
     match (result, change) {
         (Ok(ledger), Change::Ask(asked)) => match ledger.round(&asked.id) {
-            Some(round) => Answer::told(202, &request::shown(round, ledger)),
+            Some(round) => Answer::json(202, &request::shown(round, ledger)),
             None => problem(409, "it is over already"),
         },
         (Ok(ledger), Change::Cancel(id)) => {
             let shown = ledger.round(id).map(|round| request::shown(round, ledger));
-            Answer::told(200, &shown.unwrap_or_default())
+            Answer::json(200, &shown.unwrap_or_default())
         }
-        (Ok(_), _) => Answer::told(200, &json!({})),
+        (Ok(_), _) => Answer::json(200, &json!({})),
         (Err(Failure::Refused(Refusal::NoRound)), _) => problem(404, Refusal::NoRound.text()),
         (Err(Failure::Refused(refusal)), _) => problem(409, refusal.text()),
         (Err(Failure::NoMajority), _) => problem(
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -244,7 +244,7 @@
 
     /// Staff ask for a round, or the end of one; answered at once or with the orders of a later turn.
     pub fn ask_maintenance(&mut self, now: Micros, token: u64, asked: Asked) -> Option<Answer> {
-        let Some(maintenance) = &mut self.maintenance else { return Some(Answer::nowhere()) };
+        let Some(maintenance) = &mut self.maintenance else { return Some(Answer::not_found()) };
         maintenance.ask(now, token, asked, &self.node)
     }
 
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -5,12 +5,12 @@
 mod operations;
 mod start;
 
-use super::admin::changes::Asked;
+use super::admin::changes::QueuedChange;
 use super::admin::Admin;
 use super::change::Reload;
-use super::clients::amqp::Front;
-use super::clients::platform::Platform;
-use super::clients::PLATFORM;
+use super::clients::amqp::AmqpFront;
+use super::clients::platform::HttpFront;
+use super::clients::HTTP_FRONT;
 use super::config::Config;
 use super::handover::{Follower, Seat};
 use super::list::dns_sd::DnsSd;
@@ -52,8 +52,8 @@
     pub poll: Poll,
     pub(super) clock: Clock,
     pub engine: Engine,
-    pub platform: Platform,
-    pub publishers: Option<Front>,
+    pub platform: HttpFront,
+    pub publishers: Option<AmqpFront>,
     pub servers: Servers,
     pub brokers: Brokers,
     /// Service entries of the operators' file; they stand beside every whole list.
@@ -73,7 +73,7 @@
     pub store: Option<Store>,
     pub options: Options,
     /// Changes that wait for their turn.
-    pub asks: VecDeque<Asked>,
+    pub asks: VecDeque<QueuedChange>,
     /// A file that is being read.
     pub reload: Option<Reload>,
     /// Where operators' staff call.
@@ -123,7 +123,7 @@
     /// One turn.
     fn turn(&mut self) -> Next {
         let now = self.clock.now();
-        let publishers = self.publishers.as_ref().and_then(Front::due);
+        let publishers = self.publishers.as_ref().and_then(AmqpFront::due);
         let dns_sd = self.dns_sd.as_ref().and_then(DnsSd::due);
         let admin = self.admin.as_ref().and_then(Admin::due);
         let ops = self.ops.as_ref().and_then(Ops::due);
@@ -192,8 +192,8 @@
         if self.hand_over(now) {
             return Next::Followed;
         }
-        if self.life.finished(now, self.platform.held())
-            && (self.life.stage() == Stage::Followed || !self.platform.unread())
+        if self.life.finished(now, self.platform.connection_count())
+            && (self.life.stage() == Stage::Followed || !self.platform.has_unread_input())
         {
             Next::End
         } else {
@@ -302,7 +302,7 @@
     pub(super) fn live(&mut self, now: Micros) {
         self.life.tick(now);
         self.platform.is_ready = self.life.takes_clients();
-        self.platform.fate = self.life.connections(now);
+        self.platform.connection_policy = self.life.connections(now);
         if !self.life.may_call(now) && !std::mem::replace(&mut self.last_call, true) {
             self.inputs.push(Input::LastCall);
         }
@@ -310,7 +310,7 @@
 
     fn carry_out(&mut self, output: Output, now: Micros) {
         match output {
-            Output::Reply(token, PLATFORM, reply) => {
+            Output::Reply(token, HTTP_FRONT, reply) => {
                 self.platform.reply(&self.poll, token, reply, &mut self.inputs);
             }
             Output::Reply(token, _, reply) => {
@@ -329,11 +329,11 @@
                 self.servers.abort(call);
                 self.brokers.abort(&self.poll, call);
             }
-            Output::Tell { flow, front: PLATFORM, id, end, .. } => self.reports.tell(flow, &id, end),
+            Output::Tell { flow, front: HTTP_FRONT, id, end, .. } => self.reports.tell(flow, &id, end),
             // While the front is off, its ends stay owed.
             Output::Tell { flow, tenant, id, origin, end, .. } => {
                 if let Some(front) = &mut self.publishers {
-                    front.tell(flow, tenant, id, (&origin, end), &mut self.inputs);
+                    front.queue_outcome(flow, tenant, id, (&origin, end), &mut self.inputs);
                 }
             }
             Output::CloseIdle(endpoint) => self.servers.close_idle(endpoint),
--- a/src/net/node/operations.rs
+++ b/src/net/node/operations.rs
@@ -5,7 +5,7 @@
 use crate::engine::figures::Figures;
 use crate::lifecycle::{NoWayBack, Stage};
 use crate::maintenance::agent::Facts;
-use crate::net::admin::{self, View};
+use crate::net::admin::{self, ApiContext};
 use crate::net::maintenance::Order;
 use crate::net::ops;
 use crate::Micros;
@@ -16,7 +16,8 @@
     pub(super) fn maintain(&mut self, now: Micros) {
         let Some(members) = &mut self.members else { return };
         let settled = self.ramp.as_ref().is_none_or(|ramp| ramp.settled(now)) && !self.engine.replays();
-        let (life, outstanding, clients) = (&self.life, self.engine.outstanding(), self.platform.held());
+        let (life, outstanding, clients) =
+            (&self.life, self.engine.outstanding(), self.platform.connection_count());
         let facts = || Facts {
             in_service: life.takes_clients(),
             settled,
@@ -43,16 +44,18 @@
         let Some(ops) = &mut self.ops else { return };
         let Some(call) = ops.ready(&self.poll, token, now) else { return };
         let answer = match call {
-            ops::Call::Readiness => ops::Answer::readiness(&self.life),
-            ops::Call::Stats => ops::Answer::stats(&self.stats(now)),
-            ops::Call::Members => ops::Answer::known(self.members.as_ref().map(|members| members.list(now))),
-            ops::Call::Rounds => {
-                ops::Answer::known(self.members.as_ref().and_then(|members| members.rounds(now)))
+            ops::Command::Readiness => ops::Answer::readiness(&self.life),
+            ops::Command::Statistics => ops::Answer::statistics(&self.stats(now)),
+            ops::Command::Members => {
+                ops::Answer::json_or_not_found(self.members.as_ref().map(|members| members.list(now)))
             }
-            ops::Call::Maintain(asked) => {
+            ops::Command::MaintenancePlans => {
+                ops::Answer::json_or_not_found(self.members.as_ref().and_then(|members| members.rounds(now)))
+            }
+            ops::Command::ChangeMaintenance(asked) => {
                 let answer = match &mut self.members {
                     Some(members) => members.ask_maintenance(now, token, asked),
-                    None => Some(ops::Answer::nowhere()),
+                    None => Some(ops::Answer::not_found()),
                 };
                 match answer {
                     Some(answer) => answer,
@@ -60,20 +63,20 @@
                     None => return,
                 }
             }
-            ops::Call::StartDrain => {
+            ops::Command::StartDrain => {
                 if self.life.start_drain(now) {
                     log!("draining: /ready says no, clients are sent away within 3.5 s");
                 }
-                ops::Answer::done(self.life.stage())
+                ops::Answer::current_stage(self.life.stage())
             }
-            ops::Call::StopDrain => match self.life.stop_drain() {
+            ops::Command::StopDrain => match self.life.stop_drain() {
                 Ok(was_on) => {
                     if was_on {
                         log!("the drain is over: /ready says yes");
                     }
-                    ops::Answer::done(self.life.stage())
+                    ops::Answer::current_stage(self.life.stage())
                 }
-                Err(NoWayBack(stage)) => ops::Answer::too_late(stage),
+                Err(NoWayBack(stage)) => ops::Answer::conflict(stage),
             },
         };
         self.live(now);
@@ -119,13 +122,14 @@
     /// A connection of the administration is ready, or its change has its answer.
     pub(in crate::net) fn administer(&mut self, token: u64, now: Micros, told: Option<admin::Answer>) {
         let Some(admin) = &mut self.admin else { return };
-        let view = View { engine: &self.engine, book: &self.book, change_service: &self.change_service, now };
+        let context =
+            ApiContext { engine: &self.engine, book: &self.book, change_service: &self.change_service, now };
         let waiting = self.asks.len();
         match told {
-            None => admin.ready(&self.poll, token, view, &mut self.inputs, &mut self.asks, waiting),
+            None => admin.ready(&self.poll, token, context, &mut self.inputs, &mut self.asks, waiting),
             Some(answer) => {
-                admin.told(&self.poll, token, answer);
-                admin.read(&self.poll, token, view, &mut self.inputs, &mut self.asks, waiting);
+                admin.complete_change(&self.poll, token, answer);
+                admin.read_requests(&self.poll, token, context, &mut self.inputs, &mut self.asks, waiting);
             }
         }
     }
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -9,8 +9,8 @@
 use crate::lifecycle::Lifecycle;
 use crate::net::admin::Admin;
 use crate::net::change;
-use crate::net::clients::amqp::Front;
-use crate::net::clients::platform::Platform;
+use crate::net::clients::amqp::AmqpFront;
+use crate::net::clients::platform::HttpFront;
 use crate::net::config::Config;
 use crate::net::handover::{Role, State, Successor};
 use crate::net::list::dns_sd::DnsSd;
@@ -263,10 +263,10 @@
         };
         let directory = engine.directory().clone();
         let most = model::client_connection_limit(model.sockets, slots);
-        let mut platform = Platform::new(listening.clients, directory.clone(), most);
-        let publishers = listening
-            .publishers
-            .map(|listener| Front::new(listener, model.publishers.clone(), directory.clone(), clock.now()));
+        let mut platform = HttpFront::new(listening.clients, directory.clone(), most);
+        let publishers = listening.publishers.map(|listener| {
+            AmqpFront::new(listener, model.publishers.clone(), directory.clone(), clock.now())
+        });
         let names = model.names.clone();
         let mut dns_sd = model.dns_sd.as_ref().map(|(at, service)| DnsSd::new(*at, service, names.clone()));
         if let (Some(lookups), Some(found)) = (&mut dns_sd, first.looked_up.take()) {
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -38,21 +38,21 @@
 
 /// What a call asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     /// Whether this process can serve.
     Readiness,
     /// The figures.
-    Stats,
+    Statistics,
     /// The members of the fleet.
     Members,
     /// Clients are to be sent away.
     StartDrain,
     /// Back to work.
     StopDrain,
-    /// Rounds of maintenance, and who is out.
-    Rounds,
+    /// MaintenancePlans of maintenance, and who is out.
+    MaintenancePlans,
     /// A round, or the end of one: answered in a later turn.
-    Maintain(Asked),
+    ChangeMaintenance(Asked),
 }
 
 /// What is answered.
@@ -77,37 +77,37 @@
     }
 
     /// The figures.
-    pub fn stats(figures: &serde_json::Value) -> Answer {
+    pub fn statistics(figures: &serde_json::Value) -> Answer {
         Answer { status: 200, allow: None, body: format!("{figures}\n") }
     }
 
     /// The members of the fleet, or its maintenance, where there is any.
-    pub fn known(known: Option<serde_json::Value>) -> Answer {
-        known.map_or_else(Answer::nowhere, |known| Answer::stats(&known))
+    pub fn json_or_not_found(value: Option<serde_json::Value>) -> Answer {
+        value.map_or_else(Answer::not_found, |value| Answer::statistics(&value))
     }
 
     /// There is nothing of the kind here.
-    pub fn nowhere() -> Answer {
+    pub fn not_found() -> Answer {
         Answer::plain(404, "no such path")
     }
 
     /// Anything, in JSON.
-    pub fn told(status: u16, body: &serde_json::Value) -> Answer {
+    pub fn json(status: u16, body: &serde_json::Value) -> Answer {
         Answer { status, allow: None, body: format!("{body}\n") }
     }
 
     /// Done, or done before.
-    pub fn done(stage: Stage) -> Answer {
+    pub fn current_stage(stage: Stage) -> Answer {
         Answer::plain(200, stage.word())
     }
 
     /// Another process holds the folder, and this one waits for it.
-    pub fn waiting() -> Answer {
+    pub fn waiting_for_predecessor() -> Answer {
         Answer::plain(503, "waiting for the process before")
     }
 
     /// It cannot be done in this stage.
-    pub fn too_late(stage: Stage) -> Answer {
+    pub fn conflict(stage: Stage) -> Answer {
         Answer::plain(409, stage.word())
     }
 }
@@ -178,7 +178,7 @@
     }
 
     /// A connection is ready. Tells what it asks, once that is whole; [`Ops::answer`] is to follow at once.
-    pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<Call> {
+    pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<Command> {
         let one = self.connections.get_mut(&token)?;
         if one.stream.ready(poll).is_err() {
             self.remove(token);
@@ -199,7 +199,7 @@
         let refused = match http::call(&one.stream.input, longest) {
             Parsed::Whole(request, _) => match asked(&request) {
                 Ok(call) => {
-                    one.pending = matches!(call, Call::Maintain(_));
+                    one.pending = matches!(call, Command::ChangeMaintenance(_));
                     return Some(call);
                 }
                 Err(refused) => refused,
@@ -272,21 +272,21 @@
 }
 
 /// What a request asks for, or how it is refused.
-fn asked(request: &Request) -> Result<Call, Answer> {
+fn asked(request: &Request) -> Result<Command, Answer> {
     let path = request.target.split('?').next().unwrap_or_default();
     let (method, call) = match path {
-        "/ops/readiness" => ("GET", Call::Readiness),
-        "/ops/stats" => ("GET", Call::Stats),
-        "/ops/members" => ("GET", Call::Members),
-        "/ops/drain/start" => ("PUT", Call::StartDrain),
-        "/ops/drain/stop" => ("PUT", Call::StopDrain),
+        "/ops/readiness" => ("GET", Command::Readiness),
+        "/ops/stats" => ("GET", Command::Statistics),
+        "/ops/members" => ("GET", Command::Members),
+        "/ops/drain/start" => ("PUT", Command::StartDrain),
+        "/ops/drain/stop" => ("PUT", Command::StopDrain),
         "/ops/maintenance" if request.method == "PUT" => {
-            ("PUT", Call::Maintain(Asked::Round(request.body.clone())))
+            ("PUT", Command::ChangeMaintenance(Asked::Round(request.body.clone())))
         }
-        "/ops/maintenance" => ("GET", Call::Rounds),
+        "/ops/maintenance" => ("GET", Command::MaintenancePlans),
         _ if path.strip_prefix("/ops/maintenance/").is_some_and(|id| !id.is_empty()) => {
             let id = path.rsplit('/').next().unwrap_or_default().to_owned();
-            ("DELETE", Call::Maintain(Asked::Cancel(id)))
+            ("DELETE", Command::ChangeMaintenance(Asked::Cancel(id)))
         }
         _ => return Err(Answer::plain(404, "no such path")),
     };
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -4,7 +4,7 @@
 use crate::config::model::Broker;
 use crate::directory::Directory;
 use crate::engine::{CallId, Input, Item};
-use crate::net::amqp::{self, method, Args, Content, Frame, Properties, Pulse, Put, Value};
+use crate::net::amqp::{self, method, Args, Content, Frame, HeartbeatTimer, Properties, PutArgument, Value};
 use crate::net::list::endpoint_id;
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::Stream;
@@ -34,7 +34,7 @@
     began: Micros,
     frame_max: u32,
     channel_max: u16,
-    pulse: Pulse,
+    heartbeats: HeartbeatTimer,
     channels: BTreeMap<u16, Channel>,
     /// Numbers whose close is not confirmed yet: not to be used again.
     closing: Vec<u16>,
@@ -123,7 +123,7 @@
                 began: now,
                 frame_max: amqp::FRAME_MAX,
                 channel_max: MOST_CHANNELS,
-                pulse: Pulse::new(0, now),
+                heartbeats: HeartbeatTimer::new(0, now),
                 channels: BTreeMap::new(),
                 closing: Vec::new(),
             };
@@ -145,7 +145,7 @@
         if channel.open {
             publish(&mut out, number, channel, broker, &self.directory, link.frame_max);
         }
-        link.pulse.said = now;
+        link.heartbeats.last_sent = now;
         if link.stream.send(poll, &out).is_err() {
             return self.lose(token, inputs);
         }
@@ -170,12 +170,12 @@
         // What has left has left, even if the connection broke right after.
         self.note_written(token, inputs);
         let Some(link) = self.links.get_mut(&token) else { return };
-        link.pulse.heard = now;
+        link.heartbeats.last_received = now;
         let broker = &link.broker.clone();
         let (mut out, mut at, mut over) = (Vec::new(), 0, broke || link.stream.ended);
         let input = std::mem::take(&mut link.stream.input);
         loop {
-            match amqp::read(&input[at..], link.frame_max) {
+            match amqp::read_frame(&input[at..], link.frame_max) {
                 Ok(Some((frame, used))) => {
                     at += used;
                     match link.take(frame, broker, &self.directory, &mut out, inputs, now) {
@@ -198,7 +198,7 @@
         }
         link.stream.input = input[at..].to_vec();
         if !out.is_empty() {
-            link.pulse.said = now;
+            link.heartbeats.last_sent = now;
             over |= link.stream.send(poll, &out).is_err();
         }
         self.note_written(token, inputs);
@@ -243,12 +243,12 @@
                 lost.push(token);
                 continue;
             }
-            if opening && link.began.plus(self.dial_timeout) <= now || link.pulse.dead(now) {
+            if opening && link.began.plus(self.dial_timeout) <= now || link.heartbeats.has_expired(now) {
                 lost.push(token);
-            } else if link.pulse.wanted(now) {
+            } else if link.heartbeats.is_send_due(now) {
                 let mut out = Vec::new();
                 amqp::write_heartbeat(&mut out);
-                link.pulse.said = now;
+                link.heartbeats.last_sent = now;
                 if link.stream.send(poll, &out).is_err() {
                     lost.push(token);
                 }
@@ -261,7 +261,7 @@
     pub fn due(&self) -> Option<Micros> {
         let due = |link: &Link| match link.stage {
             Stage::Opening => Some(link.began.plus(self.dial_timeout)),
-            Stage::Open => link.pulse.due(),
+            Stage::Open => link.heartbeats.next_due(),
         };
         self.links.values().filter_map(due).min()
     }
@@ -299,9 +299,9 @@
                     ("product".into(), Value::Text(b"cedarwharf".to_vec())),
                     ("capabilities".into(), Value::Table(capabilities)),
                 ]);
-                reply.put_name(b"PLAIN");
-                reply.put_text(format!("\0{}\0{}", broker.user, broker.password.reveal()).as_bytes());
-                reply.put_name(b"en_US");
+                reply.put_short_string(b"PLAIN");
+                reply.put_long_string(format!("\0{}\0{}", broker.user, broker.password.reveal()).as_bytes());
+                reply.put_short_string(b"en_US");
                 amqp::write_method(out, 0, method::START_OK, &reply);
             }
             method::TUNE => {
@@ -310,14 +310,14 @@
                 self.channel_max = least(told.0.into(), MOST_CHANNELS.into()) as u16;
                 self.frame_max = least(told.1, amqp::FRAME_MAX).max(4096);
                 let heartbeat = least(told.2.into(), HEARTBEAT.into()) as u16;
-                self.pulse = Pulse::new(heartbeat, now);
+                self.heartbeats = HeartbeatTimer::new(heartbeat, now);
                 let mut reply = Vec::new();
                 reply.put_short(self.channel_max);
                 reply.put_long(self.frame_max);
                 reply.put_short(heartbeat);
                 amqp::write_method(out, 0, method::TUNE_OK, &reply);
                 let mut open = Vec::new();
-                open.put_name(broker.vhost.as_bytes());
+                open.put_short_string(broker.vhost.as_bytes());
                 open.extend([0, 0]);
                 amqp::write_method(out, 0, method::OPEN, &open);
             }
@@ -328,7 +328,7 @@
                 }
             }
             method::CLOSE => {
-                let (code, text) = (args.short()?, args.name_text()?);
+                let (code, text) = (args.short()?, args.short_string_utf8()?);
                 log!("broker {}: closed the connection: {code} {text}", broker.address);
                 amqp::write_method(out, 0, method::CLOSE_OK, &[]);
                 return Ok(false);
@@ -343,7 +343,7 @@
                 }
             }
             method::CHANNEL_CLOSE => {
-                let (code, text) = (args.short()?, args.name_text()?);
+                let (code, text) = (args.short()?, args.short_string_utf8()?);
                 log!("broker {}: closed a channel: {code} {text}", broker.address);
                 amqp::write_method(out, number, method::CHANNEL_CLOSE_OK, &[]);
                 let call = self.channels.remove(&number).and_then(|channel| channel.call);
@@ -422,8 +422,8 @@
     let Some(call) = &mut channel.call else { return };
     for (place, item) in call.waiting.take().unwrap_or_default().into_iter().enumerate() {
         let mut args = vec![0, 0];
-        args.put_name(broker.exchange.as_bytes());
-        args.put_name(broker.routing_key.as_bytes());
+        args.put_short_string(broker.exchange.as_bytes());
+        args.put_short_string(broker.routing_key.as_bytes());
         args.push(1); // mandatory
         amqp::write_method(out, number, method::PUBLISH, &args);
         let key = item.key.iter().map(|key| ("key".to_owned(), Value::Text(key.to_vec())));
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -1,7 +1,7 @@
 //! Upgrades, as the loop sees them: a start that finds the folder free, handed over, or held by another process; and the
 //! end of a process that another one follows. What is said between the two is in `handover`.
 
-use super::clients::platform::Platform;
+use super::clients::platform::HttpFront;
 use super::config::Config;
 pub(super) use super::handover::pass;
 use super::handover::{self, Found, Role, State, Successor};
@@ -54,7 +54,7 @@
     }
 
     /// Waits a while for the folder; staff are answered meanwhile. False where the process was told to stop.
-    fn wait(&mut self, time: Duration, answer: &dyn Fn(ops::Call) -> ops::Answer) -> bool {
+    fn wait(&mut self, time: Duration, answer: &dyn Fn(ops::Command) -> ops::Answer) -> bool {
         let until = Instant::now() + time;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -123,7 +123,7 @@
                 }
             }
         }
-        if !early.wait(ASK_AGAIN, &|_| ops::Answer::waiting()) {
+        if !early.wait(ASK_AGAIN, &|_| ops::Answer::waiting_for_predecessor()) {
             return Ok(None);
         }
     }
@@ -177,12 +177,12 @@
     poll: &mut Poll,
     state: State,
     sockets: Vec<OwnedFd>,
-    (platform, servers): (&mut Platform, &mut Servers),
+    (platform, servers): (&mut HttpFront, &mut Servers),
     mut broken: impl FnMut(CallId),
 ) {
     let mut sockets = sockets.into_iter();
     for (edge, socket) in state.edges.into_iter().zip(sockets.by_ref()) {
-        platform.follow(poll, edge, socket);
+        platform.adopt(poll, edge, socket);
     }
     let followed: Vec<CallId> = state
         .servers
@@ -287,10 +287,10 @@
     /// All that is handed over. Where descriptors are short, connections on which nothing is under way are closed first:
     /// for a moment, all are open twice.
     fn state(&mut self) -> Result<State, String> {
-        let held = self.platform.held() + self.servers.held();
+        let held = self.platform.connection_count() + self.servers.held();
         let over = (2 * (held + BESIDES)).saturating_sub(self.change_service.model().sockets).div_ceil(2);
         let over = over - self.servers.close_some(over).min(over);
-        self.platform.close_some(over);
+        self.platform.close_idle(over);
         let core = self.engine.hand_over()?;
         let others = |entry: &&Entry| {
             let looked_up = self.dns_sd.iter().flat_map(|dns_sd| dns_sd.current());
@@ -339,14 +339,14 @@
         let mut early = self.step_back().map_err(|problem| problem.to_string())?;
         let until = early.clock.now().plus(LINGER);
         let answer = |call| match call {
-            ops::Call::Readiness => ops::Answer::readiness(&life),
-            ops::Call::Stats => ops::Answer::stats(&figures),
+            ops::Command::Readiness => ops::Answer::readiness(&life),
+            ops::Command::Statistics => ops::Answer::statistics(&figures),
             // What it knew grows old: the one that follows is asked.
-            ops::Call::Members | ops::Call::Rounds | ops::Call::Maintain(_) => {
-                ops::Answer::too_late(life.stage())
+            ops::Command::Members | ops::Command::MaintenancePlans | ops::Command::ChangeMaintenance(_) => {
+                ops::Answer::conflict(life.stage())
             }
-            ops::Call::StartDrain => ops::Answer::done(life.stage()),
-            ops::Call::StopDrain => ops::Answer::too_late(life.stage()),
+            ops::Command::StartDrain => ops::Answer::current_stage(life.stage()),
+            ops::Command::StopDrain => ops::Answer::conflict(life.stage()),
         };
         while early.clock.now() < until {
             if !early.wait(Duration::from_secs(1), &answer) {
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use cedarwharf::net::amqp::{method, Args, Content, Frame, Put};
+use cedarwharf::net::amqp::{method, Args, Content, Frame, PutArgument};
 use futures_lite::StreamExt;
 use lapin::options::*;
 use lapin::types::{AMQPValue, FieldTable};
@@ -54,7 +54,7 @@
                 }
             }
             method::DELIVER => {
-                args.name().unwrap();
+                args.short_string().unwrap();
                 let tag = args.long_long().unwrap();
                 wire.patience(Duration::from_secs(5));
                 let (properties, _) = wire.rest_of_content();
--- a/tests/support/amqp.rs
+++ b/tests/support/amqp.rs
@@ -3,7 +3,7 @@
 //! Said: `open USER PASSWORD VHOST`, `publish ID CLASS DEST MS QUEUE BODY`, `declare QUEUE`, `consume QUEUE`,
 //! `ack TAG`, `nack TAG`, `close-channel CODE`, `return ID`. All of it goes on channel 1 unless `CHANNEL:` stands before.
 
-use cedarwharf::net::amqp::{self, method, Args, Content, Frame, Method, Properties, Put, Value};
+use cedarwharf::net::amqp::{self, method, Args, Content, Frame, Method, Properties, PutArgument, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -25,8 +25,8 @@
         wire.stream.read_exact(&mut [0; 8]).unwrap();
         let mut start = vec![0, 9];
         start.put_table(&[]);
-        start.put_text(b"PLAIN");
-        start.put_text(b"en_US");
+        start.put_long_string(b"PLAIN");
+        start.put_long_string(b"en_US");
         wire.method(0, method::START, &start);
         wire.wait_for(method::START_OK);
         wire.method(0, method::TUNE, &[0, 100, 0, 2, 0, 0, 0, 0]);
@@ -56,7 +56,7 @@
     /// The next frame; `None` after the patience, an error when the connection is over.
     pub fn frame(&mut self) -> Result<Option<Frame>, ()> {
         loop {
-            match amqp::read(&self.input, amqp::FRAME_MAX) {
+            match amqp::read_frame(&self.input, amqp::FRAME_MAX) {
                 Ok(Some((frame, used))) => {
                     self.input.drain(..used);
                     if frame.content != Content::Heartbeat {
@@ -93,13 +93,13 @@
         self.stream.write_all(amqp::PROTOCOL).unwrap();
         let mut args = Vec::new();
         args.put_table(&[]);
-        args.put_name(b"PLAIN");
-        args.put_text(format!("\0{user}\0{password}").as_bytes());
-        args.put_name(b"en_US");
+        args.put_short_string(b"PLAIN");
+        args.put_long_string(format!("\0{user}\0{password}").as_bytes());
+        args.put_short_string(b"en_US");
         self.method(0, method::START_OK, &args);
         self.method(0, method::TUNE_OK, &[0, 10, 0, 2, 0, 0, 0, 0]);
         let mut args = Vec::new();
-        args.put_name(vhost.as_bytes());
+        args.put_short_string(vhost.as_bytes());
         args.extend([0, 0]);
         self.method(0, method::OPEN, &args);
         self.method(1, method::CHANNEL_OPEN, &[0]);
@@ -108,8 +108,8 @@
 
     pub fn publish(&mut self, id: &str, class: &str, dest: &str, ms: &str, queue: &str, body: &str) {
         let mut args = vec![0, 0];
-        args.put_name(b"");
-        args.put_name(b"any");
+        args.put_short_string(b"");
+        args.put_short_string(b"any");
         args.push(0);
         self.method(1, method::PUBLISH, &args);
         let name = |text: &str| (text != "-").then(|| text.as_bytes().into());
@@ -142,15 +142,15 @@
             ["publish", id, class, dest, ms, queue, body] => self.publish(id, class, dest, ms, queue, body),
             ["declare", queue] => {
                 args.put_short(0);
-                args.put_name(queue.as_bytes());
+                args.put_short_string(queue.as_bytes());
                 args.push(2);
                 args.put_table(&[]);
                 self.method(channel, method::QUEUE_DECLARE, &args);
             }
             ["consume", queue] => {
                 args.put_short(0);
-                args.put_name(queue.as_bytes());
-                args.put_name(b"c");
+                args.put_short_string(queue.as_bytes());
+                args.put_short_string(b"c");
                 args.push(0);
                 args.put_table(&[]);
                 self.method(channel, method::CONSUME, &args);
@@ -163,9 +163,9 @@
             }
             ["return", id] => {
                 args.put_short(312);
-                args.put_name(b"NO_ROUTE");
-                args.put_name(b"");
-                args.put_name(b"payments");
+                args.put_short_string(b"NO_ROUTE");
+                args.put_short_string(b"");
+                args.put_short_string(b"payments");
                 self.method(channel, method::RETURN, &args);
                 let properties =
                     Properties { message_id: Some(id.as_bytes().into()), ..Properties::default() };
@@ -199,14 +199,14 @@
                 method::CONFIRM_SELECT => "confirm.select".to_owned(),
                 method::CONFIRM_SELECT_OK => "confirm.select-ok".to_owned(),
                 method::QUEUE_DECLARE_OK => {
-                    let (queue, waiting) = (args.name_text().unwrap(), args.long().unwrap());
+                    let (queue, waiting) = (args.short_string_utf8().unwrap(), args.long().unwrap());
                     format!("queue.declare-ok {queue}, {waiting} waiting")
                 }
                 method::CONSUME_OK => "basic.consume-ok".to_owned(),
                 method::ACK => format!("basic.ack {}", args.long_long().unwrap()),
                 method::NACK => format!("basic.nack {}", args.long_long().unwrap()),
                 method::CLOSE | method::CHANNEL_CLOSE => {
-                    let (code, text) = (args.short().unwrap(), args.name_text().unwrap());
+                    let (code, text) = (args.short().unwrap(), args.short_string_utf8().unwrap());
                     format!("{}.close {code} {text}", if channel == 0 { "connection" } else { "channel" })
                 }
                 method::CHANNEL_CLOSE_OK => "channel.close-ok".to_owned(),
@@ -219,7 +219,7 @@
 
     fn content(&mut self, name: Method, args: &mut Args) -> String {
         let head = if name == method::DELIVER {
-            args.name().unwrap();
+            args.short_string().unwrap();
             let (tag, again) = (args.long_long().unwrap(), args.octet().unwrap() != 0);
             format!("basic.deliver {tag}{}", if again { " redelivered" } else { "" })
         } else {
--- a/tests/support/broker.rs
+++ b/tests/support/broker.rs
@@ -2,7 +2,7 @@
 //! after taking a message, nacks and returns. It counts the effects of each message.
 
 use super::amqp::Wire;
-use cedarwharf::net::amqp::{method, Content, Frame, Put};
+use cedarwharf::net::amqp::{method, Content, Frame, PutArgument};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
