--- a/src/net/clients/life.rs
+++ b/src/net/clients/life.rs
@@ -1,7 +1,9 @@
-//! The life of an edge connection, without its socket: open, reading, resting, answering, closing, lingering, gone. Each
-//! connection ends the same way. What it is owed is written, its sending is ended, and what the client still sends is read
-//! and dropped until the client ends too, or a bound: closed over unread bytes, it would be reset, and the reset takes
-//! with it what the client has not read yet. Nothing that comes after the decision to end it is ever taken on.
+//! State machine of a client connection, without its socket: open, reading, idle, answering, closing, lingering, gone.
+//!
+//! Each connection closes in the same steps: queued output is written, the sending side is shut down, and further input is
+//! read and discarded until the client closes its side or a limit is reached. Closing a socket that has unread input sends
+//! a reset, and a reset discards output that the client has not read yet. Input that arrives after the decision to close
+//! is never accepted.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -9,196 +11,207 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection between two requests is ended after so long: some clients ask once and keep it for good.
-pub const UNUSED: Micros = Micros(5_000_000);
-/// A request is whole within so long of its first byte, the first one of the connection's start; and an answer is
-/// read within so long. Whoever is slower is answered 408, or ended.
-pub const PATIENCE: Micros = Micros(2_000_000);
-/// What a client goes on sending after its connection's last answer is read and dropped for so long...
-pub const LINGER: Micros = Micros(1_000_000);
-/// ...and up to so many bytes, from the decision to end the connection on.
-pub const DROP_MOST: usize = 256 * 1024;
-
-/// See the module's text.
+/// Time after which a connection without a request in progress is closed: some clients send one request and keep the
+/// connection open for good.
+pub const IDLE_TIMEOUT: Micros = Micros(5_000_000);
+/// Time from the first byte of a request to its last (for the first request, from the opening of the connection), and time
+/// within which the client reads an answer. Slower clients get a 408 or are disconnected.
+pub const REQUEST_TIMEOUT: Micros = Micros(2_000_000);
+/// Time for which input is discarded after the last answer of a connection has been written.
+pub const LINGER_TIMEOUT: Micros = Micros(1_000_000);
+/// Limit on the input that is discarded, counted from the decision to close the connection.
+pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+
+/// State of a client connection. It is serialized for the successor process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Life {
-    /// Nothing has come on it since then.
+pub enum ConnectionState {
+    /// Nothing has been received yet.
     Open {
-        /// When it was opened.
+        /// Time of opening.
         since: Micros,
     },
-    /// A request is under way.
+    /// A request has been received in part.
     Reading {
-        /// Since its first byte, or the connection's start.
+        /// Time of its first byte; for the first request, time of the connection's opening.
         since: Micros,
-        /// It is the connection's first.
+        /// Whether it is the connection's first request.
         first: bool,
     },
     /// Between two requests.
-    Resting {
-        /// Since its last use.
+    #[serde(rename = "Resting")]
+    Idle {
+        /// Time of the last use.
         since: Micros,
     },
-    /// A whole request is with the core.
+    /// The core is processing a complete request.
     Answering {
-        /// Its answer is the connection's last.
+        /// Whether the connection closes after this answer.
         last: bool,
     },
-    /// The last answer, if any, is queued; the connection's sending ends when that is written. What comes is dropped.
+    /// The last answer, if any, is queued; the sending side is shut down once it is written. Input is discarded.
     Closing {
-        /// Since the decision.
+        /// Time of the decision to close.
         since: Micros,
-        /// So many bytes so far. Told by none that was handed over by a version before this.
+        /// Bytes discarded so far. Connections handed over by earlier versions do not contain this field.
         #[serde(default)]
         dropped: usize,
     },
-    /// Its sending has ended: what comes is dropped.
+    /// The sending side is shut down. Input is discarded.
     Lingering {
-        /// Since then.
+        /// Time of the shutdown.
         since: Micros,
-        /// So many bytes so far.
+        /// Bytes discarded so far.
         dropped: usize,
     },
-    /// Nothing is to be done with it but to let it go.
+    /// The socket can be closed.
     Gone,
 }
 
-/// What is to be done for a connection whose time is up.
+/// What the owner of the socket does after a deadline check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
-    /// Nothing yet.
+pub enum DeadlineAction {
+    /// Nothing: the deadline has not passed.
     Wait,
-    /// Tell the client that its request took too long; the connection is closing.
-    TellTimeout,
-    /// It is closing, or gone: see [`Life`].
+    /// Answer 408 Request Timeout; the connection is closing.
+    SendTimeout,
+    /// Continue with the new state, which is closing or gone.
     End,
 }
 
-impl Life {
-    fn closing(now: Micros) -> Life {
-        Life::Closing { since: now, dropped: 0 }
+impl ConnectionState {
+    fn closing(now: Micros) -> ConnectionState {
+        ConnectionState::Closing { since: now, dropped: 0 }
     }
 
-    /// A connection just opened.
-    pub fn open(now: Micros) -> Life {
-        Life::Open { since: now }
+    /// State of a connection that has just been opened.
+    pub fn open(now: Micros) -> ConnectionState {
+        ConnectionState::Open { since: now }
     }
 
-    /// Bytes came that are no whole request yet.
-    pub fn begun(&mut self, now: Micros) {
+    /// Input arrived that is not a complete request yet.
+    pub fn request_started(&mut self, now: Micros) {
         match *self {
-            Life::Open { since } => *self = Life::Reading { since, first: true },
-            Life::Resting { .. } => *self = Life::Reading { since: now, first: false },
+            ConnectionState::Open { since } => *self = ConnectionState::Reading { since, first: true },
+            ConnectionState::Idle { .. } => *self = ConnectionState::Reading { since: now, first: false },
             _ => {}
         }
     }
 
-    /// A whole request came; its answer is the last one or not.
-    pub fn asked(&mut self, last: bool) {
-        if self.reads() {
-            *self = Life::Answering { last };
+    /// A complete request arrived; `last` says whether the connection closes after its answer.
+    pub fn request_received(&mut self, last: bool) {
+        if self.accepts_requests() {
+            *self = ConnectionState::Answering { last };
         }
     }
 
-    /// The answer is queued; tells whether it is the last.
-    pub fn answered(&mut self, now: Micros, leaving: bool) -> bool {
-        if let Life::Answering { last } = *self {
+    /// The answer has been queued. Returns whether the connection is closing.
+    pub fn response_queued(&mut self, now: Micros, leaving: bool) -> bool {
+        if let ConnectionState::Answering { last } = *self {
             let ends = last || leaving;
-            *self = if ends { Life::closing(now) } else { Life::Resting { since: now } };
+            *self = if ends { ConnectionState::closing(now) } else { ConnectionState::Idle { since: now } };
         }
-        self.ends()
+        self.is_closing()
     }
 
-    /// It is to end: nothing more is taken on. One with the core is answered first.
-    pub fn end(&mut self, now: Micros) {
+    /// Starts closing: no further request is accepted. A request that the core is processing is answered first.
+    pub fn close(&mut self, now: Micros) {
         match *self {
-            Life::Answering { .. } => *self = Life::Answering { last: true },
-            Life::Open { .. } | Life::Reading { .. } | Life::Resting { .. } => *self = Life::closing(now),
-            Life::Closing { .. } | Life::Lingering { .. } | Life::Gone => {}
+            ConnectionState::Answering { .. } => *self = ConnectionState::Answering { last: true },
+            ConnectionState::Open { .. } | ConnectionState::Reading { .. } | ConnectionState::Idle { .. } => {
+                *self = ConnectionState::closing(now)
+            }
+            ConnectionState::Closing { .. } | ConnectionState::Lingering { .. } | ConnectionState::Gone => {}
         }
     }
 
-    /// All that was queued is written; tells whether its sending is to be ended now.
-    pub fn flushed(&mut self, now: Micros) -> bool {
-        let Life::Closing { dropped, .. } = *self else { return false };
-        *self = Life::Lingering { since: now, dropped };
+    /// All queued output has been written. Returns whether the sending side is to be shut down now.
+    pub fn output_flushed(&mut self, now: Micros) -> bool {
+        let ConnectionState::Closing { dropped, .. } = *self else { return false };
+        *self = ConnectionState::Lingering { since: now, dropped };
         true
     }
 
-    /// So many bytes came of which nothing is taken on.
-    pub fn dropped(&mut self, count: usize) {
-        if let Life::Closing { dropped, .. } | Life::Lingering { dropped, .. } = self {
+    /// Counts `count` bytes of discarded input.
+    pub fn input_discarded(&mut self, count: usize) {
+        if let ConnectionState::Closing { dropped, .. } | ConnectionState::Lingering { dropped, .. } = self {
             *dropped += count;
-            if *dropped > DROP_MOST {
-                *self = Life::Gone;
+            if *dropped > MAX_DISCARDED_BYTES {
+                *self = ConnectionState::Gone;
             }
         }
     }
 
-    /// The client has ended its sending. What it is owed is still written.
-    pub fn client_ended(&mut self, now: Micros, flushed: bool) {
+    /// The client has shut down its sending side. Pending answers are still written.
+    pub fn client_closed(&mut self, now: Micros, flushed: bool) {
         match *self {
-            Life::Answering { .. } => *self = Life::Answering { last: true },
-            Life::Gone => {}
-            _ if flushed => *self = Life::Gone,
-            Life::Closing { .. } => {}
-            _ => *self = Life::closing(now),
+            ConnectionState::Answering { .. } => *self = ConnectionState::Answering { last: true },
+            ConnectionState::Gone => {}
+            _ if flushed => *self = ConnectionState::Gone,
+            ConnectionState::Closing { .. } => {}
+            _ => *self = ConnectionState::closing(now),
         }
     }
 
-    /// Requests are read from it.
-    pub fn reads(&self) -> bool {
-        matches!(self, Life::Open { .. } | Life::Reading { .. } | Life::Resting { .. })
+    /// Whether requests are read from the connection.
+    pub fn accepts_requests(&self) -> bool {
+        matches!(
+            self,
+            ConnectionState::Open { .. } | ConnectionState::Reading { .. } | ConnectionState::Idle { .. }
+        )
     }
 
-    /// A request of it is with the core.
-    pub fn answering(&self) -> bool {
-        matches!(self, Life::Answering { .. })
+    /// Whether the core is processing a request of the connection.
+    pub fn is_answering(&self) -> bool {
+        matches!(self, ConnectionState::Answering { .. })
     }
 
-    /// Nothing more is taken on from it.
-    pub fn ends(&self) -> bool {
-        matches!(self, Life::Closing { .. } | Life::Lingering { .. } | Life::Gone)
+    /// Whether the connection is closing or gone, so that no further request is accepted.
+    pub fn is_closing(&self) -> bool {
+        matches!(
+            self,
+            ConnectionState::Closing { .. } | ConnectionState::Lingering { .. } | ConnectionState::Gone
+        )
     }
 
-    /// A whole request has come on it.
-    pub fn known(&self) -> bool {
-        !matches!(self, Life::Open { .. } | Life::Reading { first: true, .. })
+    /// Whether a complete request has been received on the connection.
+    pub fn has_received_request(&self) -> bool {
+        !matches!(self, ConnectionState::Open { .. } | ConnectionState::Reading { first: true, .. })
     }
 
-    /// When its time is up, whatever comes: bytes that trickle in or out prolong nothing.
-    pub fn ends_at(&self, flushed: bool) -> Micros {
+    /// Time at which the current state times out. Partial input or output does not extend it.
+    pub fn deadline(&self, flushed: bool) -> Micros {
         match *self {
-            Life::Answering { .. } => Micros(u64::MAX),
-            Life::Open { since } | Life::Reading { since, .. } | Life::Closing { since, .. } => {
-                since.plus(PATIENCE)
-            }
-            Life::Resting { since } if !flushed => since.plus(PATIENCE),
-            Life::Resting { since } => since.plus(UNUSED),
-            Life::Lingering { since, .. } => since.plus(LINGER),
-            Life::Gone => Micros(0),
+            ConnectionState::Answering { .. } => Micros(u64::MAX),
+            ConnectionState::Open { since }
+            | ConnectionState::Reading { since, .. }
+            | ConnectionState::Closing { since, .. } => since.plus(REQUEST_TIMEOUT),
+            ConnectionState::Idle { since } if !flushed => since.plus(REQUEST_TIMEOUT),
+            ConnectionState::Idle { since } => since.plus(IDLE_TIMEOUT),
+            ConnectionState::Lingering { since, .. } => since.plus(LINGER_TIMEOUT),
+            ConnectionState::Gone => Micros(0),
         }
     }
 
-    /// Time passes.
-    pub fn late(&mut self, now: Micros, flushed: bool) -> Late {
-        if now < self.ends_at(flushed) {
-            return Late::Wait;
+    /// Applies the timeout of the current state once its deadline has passed.
+    pub fn check_deadline(&mut self, now: Micros, flushed: bool) -> DeadlineAction {
+        if now < self.deadline(flushed) {
+            return DeadlineAction::Wait;
         }
         match *self {
-            Life::Answering { .. } => Late::Wait,
-            // Whoever brought nothing asked for nothing, and would take a 408 for the answer to what it sends just now.
-            Life::Reading { .. } if flushed => {
-                *self = Life::closing(now);
-                Late::TellTimeout
+            ConnectionState::Answering { .. } => DeadlineAction::Wait,
+            // A client that has sent nothing gets no 408: it would take it as the answer to a request that it is
+            // sending at this moment.
+            ConnectionState::Reading { .. } if flushed => {
+                *self = ConnectionState::closing(now);
+                DeadlineAction::SendTimeout
             }
-            Life::Open { .. } | Life::Resting { .. } if flushed => {
-                *self = Life::closing(now);
-                Late::End
+            ConnectionState::Open { .. } | ConnectionState::Idle { .. } if flushed => {
+                *self = ConnectionState::closing(now);
+                DeadlineAction::End
             }
             _ => {
-                *self = Life::Gone;
-                Late::End
+                *self = ConnectionState::Gone;
+                DeadlineAction::End
             }
         }
     }
--- a/src/net/clients/life/tests.rs
+++ b/src/net/clients/life/tests.rs
@@ -7,103 +7,128 @@
 }
 
 #[test]
-fn a_request_that_comes_after_the_decision_to_end_is_never_taken_on() {
-    for mut life in [Life::open(AT), Life::Resting { since: AT }, Life::Reading { since: AT, first: false }] {
-        life.end(after(10));
-        // The order that a race may bring: bytes, a whole request, an answer, all behind the decision.
-        life.begun(after(11));
-        life.asked(false);
-        assert_eq!((life, life.reads()), (Life::closing(after(10)), false));
-        assert!(life.flushed(after(11)) && !life.flushed(after(12)), "its sending ends once");
-        life.begun(after(12));
-        life.asked(false);
-        life.dropped(300);
-        assert_eq!(life, Life::Lingering { since: after(11), dropped: 300 });
+fn request_received_after_the_decision_to_close_is_not_accepted() {
+    for mut state in [
+        ConnectionState::open(AT),
+        ConnectionState::Idle { since: AT },
+        ConnectionState::Reading { since: AT, first: false },
+    ] {
+        state.close(after(10));
+        // A race may deliver input, a complete request and an answer after the decision.
+        state.request_started(after(11));
+        state.request_received(false);
+        assert_eq!((state, state.accepts_requests()), (ConnectionState::closing(after(10)), false));
+        assert!(
+            state.output_flushed(after(11)) && !state.output_flushed(after(12)),
+            "the sending side is shut down once"
+        );
+        state.request_started(after(12));
+        state.request_received(false);
+        state.input_discarded(300);
+        assert_eq!(state, ConnectionState::Lingering { since: after(11), dropped: 300 });
     }
 }
 
 #[test]
-fn one_with_the_core_is_answered_before_it_ends_and_lingers_after() {
-    let mut life = Life::Resting { since: AT };
-    life.asked(false);
-    life.end(after(1));
-    assert_eq!(life, Life::Answering { last: true });
-    assert!(!life.flushed(after(1)), "nothing ends before its answer");
-    assert!(life.answered(after(2), false));
-    assert!(life.flushed(after(3)));
-    life.client_ended(after(4), true);
-    assert_eq!(life, Life::Gone);
+fn connection_with_a_request_in_the_core_is_answered_before_it_closes_and_lingers() {
+    let mut state = ConnectionState::Idle { since: AT };
+    state.request_received(false);
+    state.close(after(1));
+    assert_eq!(state, ConnectionState::Answering { last: true });
+    assert!(!state.output_flushed(after(1)), "the sending side stays open until the answer is queued");
+    assert!(state.response_queued(after(2), false));
+    assert!(state.output_flushed(after(3)));
+    state.client_closed(after(4), true);
+    assert_eq!(state, ConnectionState::Gone);
 }
 
 #[test]
-fn a_client_that_ends_its_sending_still_gets_what_it_is_owed() {
-    let mut life = Life::Resting { since: AT };
-    life.asked(false);
-    life.client_ended(after(1), true);
-    assert_eq!(life, Life::Answering { last: true });
-    assert!(life.answered(after(1), false));
-    life.client_ended(after(2), false);
-    assert!(!life.reads() && life != Life::Gone, "the answer is not written yet");
-    assert_eq!(life.late(after(2_001), false), Late::End, "whoever does not read it is let go");
-    // Between two requests nothing is owed.
-    let mut life = Life::Resting { since: AT };
-    life.client_ended(after(1), true);
-    assert_eq!(life, Life::Gone);
+fn client_that_shuts_down_its_sending_side_still_gets_its_pending_answer() {
+    let mut state = ConnectionState::Idle { since: AT };
+    state.request_received(false);
+    state.client_closed(after(1), true);
+    assert_eq!(state, ConnectionState::Answering { last: true });
+    assert!(state.response_queued(after(1), false));
+    state.client_closed(after(2), false);
+    assert!(!state.accepts_requests() && state != ConnectionState::Gone, "the answer is not written yet");
+    assert_eq!(
+        state.check_deadline(after(2_001), false),
+        DeadlineAction::End,
+        "a client that does not read the answer is disconnected"
+    );
+    // Between two requests no answer is pending.
+    let mut state = ConnectionState::Idle { since: AT };
+    state.client_closed(after(1), true);
+    assert_eq!(state, ConnectionState::Gone);
 }
 
 #[test]
-fn lingering_has_a_bound_in_time_and_in_bytes() {
-    let lingering = Life::Lingering { since: AT, dropped: 0 };
-    let mut life = lingering;
-    life.dropped(DROP_MOST);
-    assert_eq!(life, Life::Lingering { since: AT, dropped: DROP_MOST });
-    life.dropped(1);
-    assert_eq!(life, Life::Gone);
-    let mut life = lingering;
-    assert_eq!((life.late(after(999), true), life.late(after(1_000), true)), (Late::Wait, Late::End));
-    assert_eq!(life, Life::Gone);
+fn lingering_ends_after_the_time_limit_or_the_byte_limit() {
+    let lingering = ConnectionState::Lingering { since: AT, dropped: 0 };
+    let mut state = lingering;
+    state.input_discarded(MAX_DISCARDED_BYTES);
+    assert_eq!(state, ConnectionState::Lingering { since: AT, dropped: MAX_DISCARDED_BYTES });
+    state.input_discarded(1);
+    assert_eq!(state, ConnectionState::Gone);
+    let mut state = lingering;
+    assert_eq!(
+        (state.check_deadline(after(999), true), state.check_deadline(after(1_000), true)),
+        (DeadlineAction::Wait, DeadlineAction::End)
+    );
+    assert_eq!(state, ConnectionState::Gone);
 }
 
 #[test]
-fn a_slow_request_is_told_and_a_silent_connection_is_ended_without_a_word() {
-    let mut life = Life::open(AT);
-    assert_eq!(life.late(after(2_000), true), Late::End);
-    assert_eq!(life, Life::closing(after(2_000)));
-    let mut life = Life::open(AT);
-    life.begun(after(1_900));
-    assert_eq!(life.late(after(2_000), true), Late::TellTimeout, "counted from its start");
-    let mut life = Life::Resting { since: AT };
-    life.begun(after(4_900));
+fn slow_request_gets_a_408_and_a_silent_connection_is_closed_without_an_answer() {
+    let mut state = ConnectionState::open(AT);
+    assert_eq!(state.check_deadline(after(2_000), true), DeadlineAction::End);
+    assert_eq!(state, ConnectionState::closing(after(2_000)));
+    let mut state = ConnectionState::open(AT);
+    state.request_started(after(1_900));
+    assert_eq!(
+        state.check_deadline(after(2_000), true),
+        DeadlineAction::SendTimeout,
+        "counted from the opening of the connection"
+    );
+    let mut state = ConnectionState::Idle { since: AT };
+    state.request_started(after(4_900));
+    assert_eq!(
+        (state.check_deadline(after(6_899), true), state.check_deadline(after(6_900), true)),
+        (DeadlineAction::Wait, DeadlineAction::SendTimeout)
+    );
+    let mut state = ConnectionState::Idle { since: AT };
     assert_eq!(
-        (life.late(after(6_899), true), life.late(after(6_900), true)),
-        (Late::Wait, Late::TellTimeout)
+        (state.check_deadline(after(4_999), true), state.check_deadline(after(5_000), true)),
+        (DeadlineAction::Wait, DeadlineAction::End)
     );
-    let mut life = Life::Resting { since: AT };
-    assert_eq!((life.late(after(4_999), true), life.late(after(5_000), true)), (Late::Wait, Late::End));
-    assert_eq!(life, Life::closing(after(5_000)));
+    assert_eq!(state, ConnectionState::closing(after(5_000)));
 }
 
 #[test]
-fn a_time_out_and_a_request_in_one_turn_end_in_one_answer() {
-    // The request is read first: no time-out is told over it.
-    let mut life = Life::Reading { since: AT, first: true };
-    life.asked(false);
-    assert_eq!(life.late(after(2_000), true), Late::Wait);
-    assert!(!life.answered(after(2_000), false));
-    // The time-out is told first: the request is not taken on.
-    let mut life = Life::Reading { since: AT, first: true };
-    assert_eq!(life.late(after(2_000), true), Late::TellTimeout);
-    life.asked(false);
-    assert!(!life.answering());
+fn timeout_and_request_in_one_loop_iteration_produce_one_answer() {
+    // The request is read first: no 408 is sent.
+    let mut state = ConnectionState::Reading { since: AT, first: true };
+    state.request_received(false);
+    assert_eq!(state.check_deadline(after(2_000), true), DeadlineAction::Wait);
+    assert!(!state.response_queued(after(2_000), false));
+    // The 408 is sent first: the request is not accepted.
+    let mut state = ConnectionState::Reading { since: AT, first: true };
+    assert_eq!(state.check_deadline(after(2_000), true), DeadlineAction::SendTimeout);
+    state.request_received(false);
+    assert!(!state.is_answering());
 }
 
 #[test]
-fn who_sends_on_and_reads_no_answer_has_the_bound_in_bytes_before_its_answer_is_written() {
-    let mut life = Life::closing(AT);
-    life.dropped(DROP_MOST);
-    assert!(matches!(life, Life::Closing { .. }), "{life:?}");
-    let mut written = life;
-    assert!(written.flushed(after(1)));
-    [&mut life, &mut written].into_iter().for_each(|life| life.dropped(1));
-    assert_eq!([life, written], [Life::Gone, Life::Gone], "what came before counts on");
+fn discarded_input_is_limited_before_and_after_the_last_answer_is_written() {
+    let mut state = ConnectionState::closing(AT);
+    state.input_discarded(MAX_DISCARDED_BYTES);
+    assert!(matches!(state, ConnectionState::Closing { .. }), "{state:?}");
+    let mut written = state;
+    assert!(written.output_flushed(after(1)));
+    [&mut state, &mut written].into_iter().for_each(|state| state.input_discarded(1));
+    assert_eq!(
+        [state, written],
+        [ConnectionState::Gone, ConnectionState::Gone],
+        "bytes discarded before the shutdown count"
+    );
 }
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -1,10 +1,10 @@
-//! Edge connections: the fronts at which flows are handed in.
+//! The fronts: the interfaces through which clients submit messages.
 
 pub mod amqp;
 pub mod life;
 pub mod platform;
 
-/// Number of the platform's front in the core and in the journal.
+/// Number of the HTTP front in the core and in the journal.
 pub const HTTP_FRONT: u8 = 0;
-/// The same of AMQP's front.
+/// Number of the AMQP front in the core and in the journal.
 pub const AMQP_FRONT: u8 = 1;
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: one flow a request, over HTTP/1.1.
 
-use super::life::{Late, Life};
+use super::life::{ConnectionState, DeadlineAction};
 use super::HTTP_FRONT;
 use crate::directory::Directory;
 use crate::engine::{Input, Offer, Reply, Token};
@@ -31,7 +31,7 @@
 
 struct Edge {
     stream: Stream,
-    life: Life,
+    life: ConnectionState,
     /// The listener that it came by has moved: it closes behind the next answer.
     leaving: bool,
     continued: bool,
@@ -45,7 +45,7 @@
     stream: HandedStream,
     /// Told by none that was handed over by a version before this.
     #[serde(default)]
-    life: Option<Life>,
+    life: Option<ConnectionState>,
     leaving: bool,
     continued: bool,
     used_at: Micros,
@@ -106,13 +106,13 @@
     /// A connection may stand elsewhere now.
     fn place(&mut self, token: u64) {
         let Some(edge) = self.edges.get_mut(&token) else { return };
-        let unused = matches!(edge.life, Life::Resting { .. });
-        let rank = (!edge.life.ends(), edge.life.known(), edge.used_at);
-        let new = Spot { ends_at: edge.life.ends_at(edge.stream.flushed()), rank, unused };
+        let unused = matches!(edge.life, ConnectionState::Idle { .. });
+        let rank = (!edge.life.is_closing(), edge.life.has_received_request(), edge.used_at);
+        let new = Spot { ends_at: edge.life.deadline(edge.stream.flushed()), rank, unused };
         if new == edge.spot {
             return;
         }
-        let (old, asked) = (std::mem::replace(&mut edge.spot, new), edge.life.answering());
+        let (old, asked) = (std::mem::replace(&mut edge.spot, new), edge.life.is_answering());
         self.leave(token, old);
         if new.ends_at < Micros(u64::MAX) {
             self.ends.insert((new.ends_at, token));
@@ -174,7 +174,7 @@
                 used_at,
             }
         };
-        let open = || self.edges.values().filter(|edge| !edge.life.answering());
+        let open = || self.edges.values().filter(|edge| !edge.life.is_answering());
         (open().map(edge).collect(), open().map(|edge| edge.stream.hand_over().1).collect())
     }
 
@@ -183,7 +183,7 @@
         let token = poll.token(Peer::Edge);
         let Ok(stream) = Stream::follow(poll, token, handed.stream, socket) else { return };
         let HandedClientConnection { life, leaving, continued, used_at, .. } = handed;
-        let life = life.unwrap_or(Life::Resting { since: used_at });
+        let life = life.unwrap_or(ConnectionState::Idle { since: used_at });
         let edge = Edge { stream, life, leaving, continued, used_at, spot: Spot::NONE };
         self.edges.insert(token, edge);
         self.place(token);
@@ -223,7 +223,7 @@
             }
             let token = poll.token(Peer::Edge);
             let Ok(stream) = Stream::accepted(poll, token, socket) else { continue };
-            let life = Life::open(now);
+            let life = ConnectionState::open(now);
             let mut edge =
                 Edge { stream, life, leaving: false, continued: false, used_at: now, spot: Spot::NONE };
             if self.edges.len() >= self.most {
@@ -242,7 +242,7 @@
     /// then those that never brought a request, then those between two requests, each time the oldest: silent
     /// connections, however many, cost nobody else a place. One with bytes that are still to be read is in use.
     fn make_room(&mut self) {
-        let unused = |edge: &Edge| matches!(edge.life, Life::Lingering { .. }) || edge.idle();
+        let unused = |edge: &Edge| matches!(edge.life, ConnectionState::Lingering { .. }) || edge.idle();
         let fits = |token: &u64| self.edges.get(token).is_some_and(unused);
         let first = self.ranks.iter().map(|&(_, token)| token).find(fits);
         first.into_iter().for_each(|token| self.remove(token));
@@ -270,34 +270,34 @@
         let leaving = self.connection_policy != Connections::Kept;
         let Some(edge) = self.edges.get_mut(&token) else { return };
         let now = edge.used_at;
-        if (edge.life.answering() || !edge.stream.flushed()) && edge.stream.input.len() > MOST_WAITING {
+        if (edge.life.is_answering() || !edge.stream.flushed()) && edge.stream.input.len() > MOST_WAITING {
             // Clients send one request at a time; this one never stops. The open one is answered, then it ends.
-            edge.life.end(now);
+            edge.life.close(now);
         }
         // Who does not read its answers is not given more of them: they would pile up here.
-        while edge.life.reads() && edge.stream.flushed() && !edge.stream.input.is_empty() {
+        while edge.life.accepts_requests() && edge.stream.flushed() && !edge.stream.input.is_empty() {
             match http::request(&edge.stream.input) {
                 Parsed::Whole(request, used) => {
                     edge.stream.input.drain(..used);
                     edge.continued = false;
-                    edge.life.asked(request.close || edge.leaving || leaving);
+                    edge.life.request_received(request.close || edge.leaving || leaving);
                     match offer(token, request, &self.directory, self.is_ready) {
                         Ok(offer) => inputs.push(Input::Offer(offer)),
                         Err(status) => {
-                            edge.life.answered(now, false);
+                            edge.life.response_queued(now, false);
                             send(poll, edge, status, &[], b"");
                         }
                     }
                 }
                 Parsed::Partial { expects } => {
-                    edge.life.begun(now);
+                    edge.life.request_started(now);
                     if expects && !std::mem::replace(&mut edge.continued, true) {
                         let _ = edge.stream.send(poll, b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     break;
                 }
                 Parsed::Bad(status) => {
-                    edge.life.end(now);
+                    edge.life.close(now);
                     send(poll, edge, status, &[], b"");
                 }
             }
@@ -309,18 +309,18 @@
     /// ended, what comes is dropped, and it is let go.
     fn settle(&mut self, token: u64, now: Micros) {
         let Some(edge) = self.edges.get_mut(&token) else { return };
-        if edge.life.ends() {
-            edge.life.dropped(edge.stream.input.len());
+        if edge.life.is_closing() {
+            edge.life.input_discarded(edge.stream.input.len());
             edge.stream.input.clear();
         }
         let flushed = edge.stream.flushed();
         if edge.stream.ended {
-            edge.life.client_ended(now, flushed);
+            edge.life.client_closed(now, flushed);
         }
-        if flushed && edge.life.flushed(now) && edge.stream.end_sending().is_err() {
-            edge.life = Life::Gone;
+        if flushed && edge.life.output_flushed(now) && edge.stream.end_sending().is_err() {
+            edge.life = ConnectionState::Gone;
         }
-        if edge.life == Life::Gone {
+        if edge.life == ConnectionState::Gone {
             self.remove(token);
         }
     }
@@ -329,7 +329,7 @@
     fn end_idle(&mut self, tokens: Vec<u64>, now: Micros) {
         for token in tokens {
             if let Some(edge) = self.edges.get_mut(&token).filter(|edge| edge.idle()) {
-                edge.life.end(now);
+                edge.life.close(now);
                 self.settle(token, now);
                 self.place(token);
             }
@@ -345,7 +345,7 @@
     /// The core's reply to an offer. What came meanwhile on the connection is read on.
     pub fn reply(&mut self, poll: &Poll, token: Token, reply: Reply, inputs: &mut Vec<Input>) {
         let Some(edge) = self.edges.get_mut(&token) else { return };
-        edge.life.answered(edge.used_at, edge.leaving || self.connection_policy != Connections::Kept);
+        edge.life.response_queued(edge.used_at, edge.leaving || self.connection_policy != Connections::Kept);
         let (status, after, body) = match reply {
             Reply::TakenOn => (202, None, ""),
             Reply::TurnDown(after) | Reply::Known(End::Deferred(after)) => (503, Some(after), ""),
@@ -408,7 +408,9 @@
         for token in late {
             let Some(edge) = self.edges.get_mut(&token) else { continue };
             // Bytes that came in this moment are read first.
-            if !edge.unread() && edge.life.late(now, edge.stream.flushed()) == Late::TellTimeout {
+            if !edge.unread()
+                && edge.life.check_deadline(now, edge.stream.flushed()) == DeadlineAction::SendTimeout
+            {
                 send(poll, edge, 408, &[], b"");
             }
             self.settle(token, now);
@@ -432,12 +434,12 @@
 impl Edge {
     /// Bytes have come that are still with the system, and that would be read as a request now.
     fn unread(&self) -> bool {
-        self.life.reads() && self.stream.flushed() && self.stream.unread()
+        self.life.accepts_requests() && self.stream.flushed() && self.stream.unread()
     }
 
     /// Nothing is under way on it: nothing has come that is still to be read, and all is written.
     fn idle(&self) -> bool {
-        matches!(self.life, Life::Open { .. } | Life::Resting { .. })
+        matches!(self.life, ConnectionState::Open { .. } | ConnectionState::Idle { .. })
             && self.stream.quiet()
             && self.stream.flushed()
     }
@@ -450,8 +452,8 @@
 fn send(poll: &Poll, edge: &mut Edge, status: u16, headers: &[(&str, &str)], body: &[u8]) {
     let allow = [("Allow", if status == 405 { "POST" } else { "" })];
     let headers = if status == 405 { &allow[..] } else { headers };
-    if edge.stream.send(poll, &http::write_answer(status, headers, body, edge.life.ends())).is_err() {
-        edge.life = Life::Gone;
+    if edge.stream.send(poll, &http::write_answer(status, headers, body, edge.life.is_closing())).is_err() {
+        edge.life = ConnectionState::Gone;
     }
 }
 
