--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: one flow a request, over HTTP/1.1.
+//! The HTTP/1.1 front: each request submits one message.
 
 use super::life::{ConnectionState, DeadlineAction};
 use super::HTTP_FRONT;
@@ -16,34 +16,34 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::rc::Rc;
 
-/// Share of the places that connections between two requests may fill: clients open only so many, and where each
-/// asks once and stays, those that come next would find none left though the forwarder does nothing.
-const KEPT_SHARE: f64 = 0.3;
-/// How often connections are looked through for those whose time is up.
-const SWEEP: Micros = Micros(250_000);
-/// A connection opened so lately may have its first request on the way. Less than the half second that a drain leaves until staff
-/// expect all to be closed.
-const FIRST_REQUEST_TIME: Micros = Micros(300_000);
-/// Longest id or idempotency key.
-const LONGEST_NAME: usize = 256;
-/// Behind a request that is with the core, so many bytes may wait: those of one more request.
-const MOST_WAITING: usize = http::LONGEST_HEAD + http::LONGEST_BODY;
-
-struct Edge {
+/// Share of the connection limit that idle connections may fill. If each client kept its connection after one request,
+/// new clients would find no connection free although the forwarder is idle.
+const MAX_IDLE_SHARE: f64 = 0.3;
+/// Interval between the sweeps that time out connections.
+const SWEEP_INTERVAL: Micros = Micros(250_000);
+/// Age up to which a new connection may have its first request in flight. It is below the half second that a drain leaves
+/// until operators expect all connections to be closed.
+const FIRST_REQUEST_GRACE: Micros = Micros(300_000);
+/// Longest message id or idempotency key, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// Input that may be buffered behind a request that the core is processing: one more request.
+const MAX_BUFFERED_INPUT: usize = http::LONGEST_HEAD + http::LONGEST_BODY;
+
+struct ClientConnection {
     stream: Stream,
-    life: ConnectionState,
-    /// The listener that it came by has moved: it closes behind the next answer.
+    state: ConnectionState,
+    /// The listener that accepted it has moved: it closes after the next answer.
     leaving: bool,
     continued: bool,
     used_at: Micros,
-    spot: Spot,
+    index_keys: IndexKeys,
 }
 
-/// A connection, for the process that follows.
+/// A connection as it is handed over to the successor process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HandedClientConnection {
     stream: HandedStream,
-    /// Told by none that was handed over by a version before this.
+    /// Missing in connections that earlier versions hand over.
     #[serde(default)]
     life: Option<ConnectionState>,
     leaving: bool,
@@ -51,302 +51,328 @@
     used_at: Micros,
 }
 
-/// Which gives way first: whose client did wrong, then who never brought a request, then the one unused for longest.
-type Rank = (bool, bool, Micros);
+/// Eviction order: closing connections first, then those without a request so far, then the least recently used.
+type EvictionRank = (bool, bool, Micros);
 
-/// Where a connection stands in the indexes.
+/// Keys under which a connection is stored in the indexes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Spot {
-    ends_at: Micros,
-    rank: Rank,
-    /// Between two requests.
-    unused: bool,
+struct IndexKeys {
+    deadline: Micros,
+    rank: EvictionRank,
+    /// Whether it is between two requests.
+    is_idle: bool,
 }
 
-/// See the module's text. Cost of a request or of a turn: some look-ups, however many connections are held.
+/// The HTTP front. A request and a loop iteration each cost a few look-ups, however many connections are held.
 pub struct HttpFront {
-    /// None once nobody is let in any more.
+    /// None once no more connections are accepted.
     listener: Option<TcpListener>,
-    edges: BTreeMap<u64, Edge>,
-    /// When each is to be ended, unless something comes.
-    ends: BTreeSet<(Micros, u64)>,
-    /// All that are not with the core, by which gives way first.
-    ranks: BTreeSet<(Rank, u64)>,
-    /// Those between two requests, by when they were last used.
-    unused: BTreeSet<(Micros, u64)>,
+    connections: BTreeMap<u64, ClientConnection>,
+    /// Connections by the deadline of their state.
+    deadlines: BTreeSet<(Micros, u64)>,
+    /// Connections without a request in the core, in eviction order.
+    eviction_order: BTreeSet<(EvictionRank, u64)>,
+    /// Connections between two requests, by time of last use.
+    idle: BTreeSet<(Micros, u64)>,
     directory: Rc<Directory>,
-    most: usize,
-    swept_at: Micros,
-    /// How often no connection could be taken though one was there.
+    max_connections: usize,
+    last_sweep: Micros,
+    /// Number of pending connections that could not be accepted.
     pub listener_failures: u64,
     /// What `GET /ready` answers.
     pub is_ready: bool,
-    /// What becomes of connections.
+    /// How connections are treated in the current lifecycle stage.
     pub connection_policy: Connections,
 }
 
 impl HttpFront {
-    /// The poll waits for the listener already; at most so many connections are held.
-    pub fn new(listener: TcpListener, directory: Rc<Directory>, most: usize) -> HttpFront {
+    /// Creates the front. The listener is already registered with the poll.
+    pub fn new(listener: TcpListener, directory: Rc<Directory>, max_connections: usize) -> HttpFront {
         HttpFront {
             listener: Some(listener),
-            edges: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            ranks: BTreeSet::new(),
-            unused: BTreeSet::new(),
+            connections: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            eviction_order: BTreeSet::new(),
+            idle: BTreeSet::new(),
             directory,
-            most,
-            swept_at: Micros(0),
+            max_connections,
+            last_sweep: Micros(0),
             listener_failures: 0,
             is_ready: false,
             connection_policy: Connections::Kept,
         }
     }
 
-    /// A connection may stand elsewhere now.
-    fn place(&mut self, token: u64) {
-        let Some(edge) = self.edges.get_mut(&token) else { return };
-        let unused = matches!(edge.life, ConnectionState::Idle { .. });
-        let rank = (!edge.life.is_closing(), edge.life.has_received_request(), edge.used_at);
-        let new = Spot { ends_at: edge.life.deadline(edge.stream.flushed()), rank, unused };
-        if new == edge.spot {
+    /// Moves a connection to its current place in the indexes.
+    fn update_indexes(&mut self, token: u64) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let is_idle = matches!(connection.state, ConnectionState::Idle { .. });
+        let rank =
+            (!connection.state.is_closing(), connection.state.has_received_request(), connection.used_at);
+        let new =
+            IndexKeys { deadline: connection.state.deadline(connection.stream.flushed()), rank, is_idle };
+        if new == connection.index_keys {
             return;
         }
-        let (old, asked) = (std::mem::replace(&mut edge.spot, new), edge.life.is_answering());
-        self.leave(token, old);
-        if new.ends_at < Micros(u64::MAX) {
-            self.ends.insert((new.ends_at, token));
+        let (old, is_answering) =
+            (std::mem::replace(&mut connection.index_keys, new), connection.state.is_answering());
+        self.remove_from_indexes(token, old);
+        if new.deadline < Micros(u64::MAX) {
+            self.deadlines.insert((new.deadline, token));
         }
-        if !asked {
-            self.ranks.insert((new.rank, token));
+        if !is_answering {
+            self.eviction_order.insert((new.rank, token));
         }
-        if new.unused {
-            self.unused.insert((new.rank.2, token));
+        if new.is_idle {
+            self.idle.insert((new.rank.2, token));
         }
     }
 
-    fn leave(&mut self, token: u64, spot: Spot) {
-        self.ends.remove(&(spot.ends_at, token));
-        self.ranks.remove(&(spot.rank, token));
-        self.unused.remove(&(spot.rank.2, token));
+    fn remove_from_indexes(&mut self, token: u64, keys: IndexKeys) {
+        self.deadlines.remove(&(keys.deadline, token));
+        self.eviction_order.remove(&(keys.rank, token));
+        self.idle.remove(&(keys.rank.2, token));
     }
 
-    /// Ends a connection.
+    /// Closes the socket of a connection and forgets it.
     fn remove(&mut self, token: u64) {
-        if let Some(edge) = self.edges.remove(&token) {
-            self.leave(token, edge.spot);
+        if let Some(connection) = self.connections.remove(&token) {
+            self.remove_from_indexes(token, connection.index_keys);
         }
     }
 
-    /// The listener, for the process that follows.
+    /// The listener, to be handed over to the successor process.
     pub fn listener(&self) -> Option<&TcpListener> {
         self.listener.as_ref()
     }
 
-    /// How many connections are held.
+    /// Number of open connections.
     pub fn connection_count(&self) -> usize {
-        self.edges.len()
+        self.connections.len()
     }
 
-    /// Bytes of some client wait to be read. Cost: the connections held, near the process's end.
+    /// Whether any client has unread input. Visits all connections; called only near the end of the process.
     pub fn has_unread_input(&self) -> bool {
-        self.edges.values().any(Edge::unread)
+        self.connections.values().any(ClientConnection::has_unread_input)
     }
 
-    /// Closes so many connections on which nothing is under way, those unused for longest first, at once: their
-    /// descriptors are wanted now.
+    /// Closes up to `count` quiescent connections at once, least recently used first, to free their descriptors.
     pub fn close_idle(&mut self, count: usize) {
-        let oldest: Vec<u64> = self.unused.iter().map(|&(_, token)| token).collect();
-        let idle =
-            oldest.into_iter().filter(|token| self.edges.get(token).is_some_and(Edge::idle)).take(count);
+        let oldest: Vec<u64> = self.idle.iter().map(|&(_, token)| token).collect();
+        let idle = oldest
+            .into_iter()
+            .filter(|token| self.connections.get(token).is_some_and(ClientConnection::is_quiescent))
+            .take(count);
         idle.collect::<Vec<u64>>().into_iter().for_each(|token| self.remove(token));
     }
 
-    /// All connections, for the process that follows. Between two turns no offer is with the core.
+    /// All connections, to be handed over to the successor process. Between two loop iterations the core holds no
+    /// submission.
     pub fn hand_over(&self) -> (Vec<HandedClientConnection>, Vec<BorrowedFd<'_>>) {
-        let edge = |edge: &'_ Edge| {
-            let &Edge { life, leaving, continued, used_at, .. } = edge;
+        let connection = |connection: &'_ ClientConnection| {
+            let &ClientConnection { state, leaving, continued, used_at, .. } = connection;
             HandedClientConnection {
-                stream: edge.stream.hand_over().0,
-                life: Some(life),
+                stream: connection.stream.hand_over().0,
+                life: Some(state),
                 leaving,
                 continued,
                 used_at,
             }
         };
-        let open = || self.edges.values().filter(|edge| !edge.life.is_answering());
-        (open().map(edge).collect(), open().map(|edge| edge.stream.hand_over().1).collect())
+        let open = || self.connections.values().filter(|connection| !connection.state.is_answering());
+        (open().map(connection).collect(), open().map(|connection| connection.stream.hand_over().1).collect())
     }
 
-    /// Goes on with a connection that another process handed over.
+    /// Takes over a connection from the predecessor process.
     pub fn adopt(&mut self, poll: &mut Poll, handed: HandedClientConnection, socket: OwnedFd) {
         let token = poll.token(Peer::Edge);
         let Ok(stream) = Stream::follow(poll, token, handed.stream, socket) else { return };
         let HandedClientConnection { life, leaving, continued, used_at, .. } = handed;
-        let life = life.unwrap_or(ConnectionState::Idle { since: used_at });
-        let edge = Edge { stream, life, leaving, continued, used_at, spot: Spot::NONE };
-        self.edges.insert(token, edge);
-        self.place(token);
+        let state = life.unwrap_or(ConnectionState::Idle { since: used_at });
+        let connection =
+            ClientConnection { stream, state, leaving, continued, used_at, index_keys: IndexKeys::NONE };
+        self.connections.insert(token, connection);
+        self.update_indexes(token);
     }
 
-    /// Other names and another number of places count from now on. What is open stays so.
-    pub fn configure(&mut self, directory: Rc<Directory>, most: usize) {
-        (self.directory, self.most) = (directory, most);
+    /// Applies new names and a new connection limit. Open connections stay open.
+    pub fn configure(&mut self, directory: Rc<Directory>, max_connections: usize) {
+        (self.directory, self.max_connections) = (directory, max_connections);
     }
 
-    /// Another address, which the poll waits for already. Whoever is connected at the old one finishes the request that
-    /// it is in, and finds the connection ended behind the answer. Those that wait at the old one are let in first. One that has
-    /// brought nothing yet may have its first request on the way, and stays until that is answered or its time is up. Cost: the
-    /// connections held.
+    /// Switches to a listener on another address, which is already registered with the poll. Connections that wait at
+    /// the old listener are accepted first. Connections of the old listener finish their current request and close after
+    /// its answer. One without a request so far may have its first request in flight: it stays until that is answered or
+    /// the connection times out. Visits all connections.
     pub fn move_to(&mut self, poll: &mut Poll, listener: TcpListener, now: Micros) {
         self.accept(poll, now);
         self.listener = Some(listener);
-        self.edges.values_mut().for_each(|edge| edge.leaving = true);
-        self.end_resting(now);
+        self.connections.values_mut().for_each(|connection| connection.leaving = true);
+        self.close_all_idle(now);
     }
 
-    /// Nobody is let in any more: whoever waits at the listener is let in, then it closes.
-    fn shut(&mut self, poll: &mut Poll, now: Micros) {
+    /// Accepts the connections that wait at the listener, then closes it.
+    fn stop_listening(&mut self, poll: &mut Poll, now: Micros) {
         self.accept(poll, now);
         self.listener = None;
     }
 
-    /// New connections are there.
+    /// Accepts the pending connections of the listener.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         while let Some(socket) = self
             .listener
             .as_ref()
             .and_then(|listener| stream::next(listener, "clients", &mut self.listener_failures))
         {
-            if self.edges.len() >= self.most {
-                self.make_room();
+            if self.connections.len() >= self.max_connections {
+                self.evict_one();
             }
             let token = poll.token(Peer::Edge);
             let Ok(stream) = Stream::accepted(poll, token, socket) else { continue };
-            let life = ConnectionState::open(now);
-            let mut edge =
-                Edge { stream, life, leaving: false, continued: false, used_at: now, spot: Spot::NONE };
-            if self.edges.len() >= self.most {
-                // A turn-down that the client can read; the socket is let go with it.
+            let state = ConnectionState::open(now);
+            let mut connection = ClientConnection {
+                stream,
+                state,
+                leaving: false,
+                continued: false,
+                used_at: now,
+                index_keys: IndexKeys::NONE,
+            };
+            if self.connections.len() >= self.max_connections {
+                // The client can read this rejection; the socket is closed after it.
                 let answer = http::write_answer(503, &[("Retry-After", "0.5")], b"", true);
-                let _ = edge.stream.send(poll, &answer);
-                log!("clients: {} connections, one more turned down", self.edges.len());
+                let _ = connection.stream.send(poll, &answer);
+                log!("clients: {} connections, rejecting one more", self.connections.len());
                 continue;
             }
-            self.edges.insert(token, edge);
-            self.place(token);
+            self.connections.insert(token, connection);
+            self.update_indexes(token);
         }
     }
 
-    /// Where all places are taken, one that is not in use is given up. Connections whose client did wrong go first,
-    /// then those that never brought a request, then those between two requests, each time the oldest: silent
-    /// connections, however many, cost nobody else a place. One with bytes that are still to be read is in use.
-    fn make_room(&mut self) {
-        let unused = |edge: &Edge| matches!(edge.life, ConnectionState::Lingering { .. }) || edge.idle();
-        let fits = |token: &u64| self.edges.get(token).is_some_and(unused);
-        let first = self.ranks.iter().map(|&(_, token)| token).find(fits);
+    /// Closes one unused connection to make room for a new one: closing connections first, then those without a request
+    /// so far, then idle ones, the oldest first in each group. Silent connections, however many, thus keep no other
+    /// client out. A connection with unread input is in use.
+    fn evict_one(&mut self) {
+        let is_evictable = |connection: &ClientConnection| {
+            matches!(connection.state, ConnectionState::Lingering { .. }) || connection.is_quiescent()
+        };
+        let can_evict = |token: &u64| self.connections.get(token).is_some_and(is_evictable);
+        let first = self.eviction_order.iter().map(|&(_, token)| token).find(can_evict);
         first.into_iter().for_each(|token| self.remove(token));
     }
 
-    /// A connection is ready.
+    /// Handles readiness of a connection.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
-        let Some(edge) = self.edges.get_mut(&token) else { return };
-        let broke = edge.stream.ready(poll).is_err();
-        edge.used_at = now;
-        if broke {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let is_broken = connection.stream.ready(poll).is_err();
+        connection.used_at = now;
+        if is_broken {
             self.remove(token);
             return;
         }
-        self.read(poll, token, inputs);
+        self.read_requests(poll, token, inputs);
     }
 
-    /// Reads what has come on a connection, up to the next offer.
-    fn read(&mut self, poll: &Poll, token: u64, inputs: &mut Vec<Input>) {
-        self.read_on(poll, token, inputs);
-        self.place(token);
+    /// Processes the received input of a connection, up to the next submission.
+    fn read_requests(&mut self, poll: &Poll, token: u64, inputs: &mut Vec<Input>) {
+        self.parse_requests(poll, token, inputs);
+        self.update_indexes(token);
     }
 
-    fn read_on(&mut self, poll: &Poll, token: u64, inputs: &mut Vec<Input>) {
-        let leaving = self.connection_policy != Connections::Kept;
-        let Some(edge) = self.edges.get_mut(&token) else { return };
-        let now = edge.used_at;
-        if (edge.life.is_answering() || !edge.stream.flushed()) && edge.stream.input.len() > MOST_WAITING {
-            // Clients send one request at a time; this one never stops. The open one is answered, then it ends.
-            edge.life.close(now);
+    fn parse_requests(&mut self, poll: &Poll, token: u64, inputs: &mut Vec<Input>) {
+        let closing_after_answer = self.connection_policy != Connections::Kept;
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let now = connection.used_at;
+        if (connection.state.is_answering() || !connection.stream.flushed())
+            && connection.stream.input.len() > MAX_BUFFERED_INPUT
+        {
+            // Clients send one request at a time; this one sends on. Its open request is answered, then it closes.
+            connection.state.close(now);
         }
-        // Who does not read its answers is not given more of them: they would pile up here.
-        while edge.life.accepts_requests() && edge.stream.flushed() && !edge.stream.input.is_empty() {
-            match http::request(&edge.stream.input) {
+        // A client that does not read its answers gets no further ones: they would accumulate in memory.
+        while connection.state.accepts_requests()
+            && connection.stream.flushed()
+            && !connection.stream.input.is_empty()
+        {
+            match http::request(&connection.stream.input) {
                 Parsed::Whole(request, used) => {
-                    edge.stream.input.drain(..used);
-                    edge.continued = false;
-                    edge.life.request_received(request.close || edge.leaving || leaving);
-                    match offer(token, request, &self.directory, self.is_ready) {
+                    connection.stream.input.drain(..used);
+                    connection.continued = false;
+                    connection
+                        .state
+                        .request_received(request.close || connection.leaving || closing_after_answer);
+                    match parse_submission(token, request, &self.directory, self.is_ready) {
                         Ok(offer) => inputs.push(Input::Offer(offer)),
                         Err(status) => {
-                            edge.life.response_queued(now, false);
-                            send(poll, edge, status, &[], b"");
+                            connection.state.response_queued(now, false);
+                            send(poll, connection, status, &[], b"");
                         }
                     }
                 }
                 Parsed::Partial { expects } => {
-                    edge.life.request_started(now);
-                    if expects && !std::mem::replace(&mut edge.continued, true) {
-                        let _ = edge.stream.send(poll, b"HTTP/1.1 100 Continue\r\n\r\n");
+                    connection.state.request_started(now);
+                    if expects && !std::mem::replace(&mut connection.continued, true) {
+                        let _ = connection.stream.send(poll, b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     break;
                 }
                 Parsed::Bad(status) => {
-                    edge.life.close(now);
-                    send(poll, edge, status, &[], b"");
+                    connection.state.close(now);
+                    send(poll, connection, status, &[], b"");
                 }
             }
         }
-        self.settle(token, now);
+        self.advance_closing(token, now);
     }
 
-    /// A connection that ends goes the next step, as far as it can be gone now: what is owed is written, its sending is
-    /// ended, what comes is dropped, and it is let go.
-    fn settle(&mut self, token: u64, now: Micros) {
-        let Some(edge) = self.edges.get_mut(&token) else { return };
-        if edge.life.is_closing() {
-            edge.life.input_discarded(edge.stream.input.len());
-            edge.stream.input.clear();
+    /// Performs the closing steps that are possible now: write the queued output, shut down the sending side, discard
+    /// input, close the socket.
+    fn advance_closing(&mut self, token: u64, now: Micros) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if connection.state.is_closing() {
+            connection.state.input_discarded(connection.stream.input.len());
+            connection.stream.input.clear();
         }
-        let flushed = edge.stream.flushed();
-        if edge.stream.ended {
-            edge.life.client_closed(now, flushed);
+        let flushed = connection.stream.flushed();
+        if connection.stream.ended {
+            connection.state.client_closed(now, flushed);
         }
-        if flushed && edge.life.output_flushed(now) && edge.stream.end_sending().is_err() {
-            edge.life = ConnectionState::Gone;
+        if flushed && connection.state.output_flushed(now) && connection.stream.end_sending().is_err() {
+            connection.state = ConnectionState::Gone;
         }
-        if edge.life == ConnectionState::Gone {
+        if connection.state == ConnectionState::Gone {
             self.remove(token);
         }
     }
 
-    /// Connections on which nothing is under way end. One on which something has come just now is read first.
-    fn end_idle(&mut self, tokens: Vec<u64>, now: Micros) {
+    /// Starts closing those of the connections that are quiescent. One with unread input is read first.
+    fn close_quiescent(&mut self, tokens: Vec<u64>, now: Micros) {
         for token in tokens {
-            if let Some(edge) = self.edges.get_mut(&token).filter(|edge| edge.idle()) {
-                edge.life.close(now);
-                self.settle(token, now);
-                self.place(token);
+            if let Some(connection) =
+                self.connections.get_mut(&token).filter(|connection| connection.is_quiescent())
+            {
+                connection.state.close(now);
+                self.advance_closing(token, now);
+                self.update_indexes(token);
             }
         }
     }
 
-    /// All connections between two requests end.
-    fn end_resting(&mut self, now: Micros) {
-        let resting = self.unused.iter().map(|&(_, token)| token).collect();
-        self.end_idle(resting, now);
+    /// Starts closing all idle connections.
+    fn close_all_idle(&mut self, now: Micros) {
+        let idle = self.idle.iter().map(|&(_, token)| token).collect();
+        self.close_quiescent(idle, now);
     }
 
-    /// The core's reply to an offer. What came meanwhile on the connection is read on.
+    /// Answers a submission with the core's reply, then processes the input received meanwhile.
     pub fn reply(&mut self, poll: &Poll, token: Token, reply: Reply, inputs: &mut Vec<Input>) {
-        let Some(edge) = self.edges.get_mut(&token) else { return };
-        edge.life.response_queued(edge.used_at, edge.leaving || self.connection_policy != Connections::Kept);
-        let (status, after, body) = match reply {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.state.response_queued(
+            connection.used_at,
+            connection.leaving || self.connection_policy != Connections::Kept,
+        );
+        let (status, retry_after, body) = match reply {
             Reply::TakenOn => (202, None, ""),
             Reply::TurnDown(after) | Reply::Known(End::Deferred(after)) => (503, Some(after), ""),
             Reply::Known(End::Delivered) => (200, None, "{\"status\":\"delivered\"}\n"),
@@ -354,111 +380,125 @@
             Reply::Taken => (409, None, ""),
             Reply::Unknown => (400, None, ""),
         };
-        match after {
-            Some(after) => {
-                let seconds = format!("{:.3}", after.0 as f64 / 1e6);
-                send(poll, edge, status, &[("Retry-After", &seconds)], body.as_bytes());
+        match retry_after {
+            Some(retry_after) => {
+                let seconds = format!("{:.3}", retry_after.0 as f64 / 1e6);
+                send(poll, connection, status, &[("Retry-After", &seconds)], body.as_bytes());
             }
-            None => send(poll, edge, status, &[], body.as_bytes()),
+            None => send(poll, connection, status, &[], body.as_bytes()),
         }
-        self.read(poll, token, inputs);
+        self.read_requests(poll, token, inputs);
     }
 
-    /// Connections between two requests, beyond so many, are ended: first the one unused for longest.
-    fn close_unused(&mut self, now: Micros) {
-        let most = (self.most as f64 * KEPT_SHARE) as usize;
-        let over = self.unused.len().saturating_sub(most);
-        let oldest: Vec<u64> = self.unused.iter().take(over).map(|&(_, token)| token).collect();
-        self.end_idle(oldest, now);
+    /// Closes idle connections above their share of the limit, least recently used first.
+    fn limit_idle(&mut self, now: Micros) {
+        let max_idle = (self.max_connections as f64 * MAX_IDLE_SHARE) as usize;
+        let over = self.idle.len().saturating_sub(max_idle);
+        let oldest: Vec<u64> = self.idle.iter().take(over).map(|&(_, token)| token).collect();
+        self.close_quiescent(oldest, now);
     }
 
-    /// Clients are sent away: connections unused for so long end. Cost: the connections that end.
-    fn send_away(&mut self, now: Micros, unused_for: Micros) {
-        let gone = |at: Micros| at.plus(unused_for) <= now;
-        let unused = self.unused.iter().take_while(|(at, _)| gone(*at)).map(|&(_, token)| token);
-        let mut late: Vec<u64> = unused.collect();
-        if unused_for == Micros(0) {
-            // Those that never brought a request go with the last, but those opened just now: their client has written it, or is
-            // about to, and would get no answer.
-            let opened_by = |at: Micros| at.plus(FIRST_REQUEST_TIME) <= now;
-            let new = self.ranks.iter().take_while(|((stays, known, _), _)| !(*stays && *known));
-            late.extend(new.filter(|((.., at), _)| opened_by(*at)).map(|&(_, token)| token));
+    /// Starts closing connections that have been idle for `idle_for`. Costs as much as the connections that close.
+    fn close_idle_for(&mut self, now: Micros, idle_for: Micros) {
+        let has_expired = |at: Micros| at.plus(idle_for) <= now;
+        let expired = self.idle.iter().take_while(|(at, _)| has_expired(*at)).map(|&(_, token)| token);
+        let mut closing: Vec<u64> = expired.collect();
+        if idle_for == Micros(0) {
+            // Connections without a request so far close last, except those opened just now: their first request may
+            // be in flight, and would get no answer.
+            let opened_by = |at: Micros| at.plus(FIRST_REQUEST_GRACE) <= now;
+            let new = self
+                .eviction_order
+                .iter()
+                .take_while(|((is_open, has_request, _), _)| !(*is_open && *has_request));
+            closing.extend(new.filter(|((.., at), _)| opened_by(*at)).map(|&(_, token)| token));
         }
-        self.end_idle(late, now);
+        self.close_quiescent(closing, now);
     }
 
-    /// Ends connections whose clients are gone, or slower than they may be.
+    /// Closes connections according to the connection policy and to their deadlines.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
-        self.close_unused(now);
+        self.limit_idle(now);
         match self.connection_policy {
             Connections::Kept | Connections::EndAnswered => {}
-            Connections::EndUnused(unused_for) => self.send_away(now, unused_for),
+            Connections::EndUnused(idle_for) => self.close_idle_for(now, idle_for),
             Connections::End => {
-                // One that has brought nothing yet may have its request on the way: it stays to the process's end.
-                self.shut(poll, now);
-                self.end_resting(now);
+                // A connection without a request so far may have one in flight: it stays until the process ends.
+                self.stop_listening(poll, now);
+                self.close_all_idle(now);
             }
         }
-        if now < self.swept_at.plus(SWEEP) {
+        if now < self.last_sweep.plus(SWEEP_INTERVAL) {
             return;
         }
-        self.swept_at = now;
-        let late: Vec<u64> =
-            self.ends.iter().take_while(|(at, _)| *at <= now).map(|&(_, token)| token).collect();
-        for token in late {
-            let Some(edge) = self.edges.get_mut(&token) else { continue };
-            // Bytes that came in this moment are read first.
-            if !edge.unread()
-                && edge.life.check_deadline(now, edge.stream.flushed()) == DeadlineAction::SendTimeout
+        self.last_sweep = now;
+        let timed_out: Vec<u64> =
+            self.deadlines.iter().take_while(|(at, _)| *at <= now).map(|&(_, token)| token).collect();
+        for token in timed_out {
+            let Some(connection) = self.connections.get_mut(&token) else { continue };
+            // Input that has just arrived is read first.
+            if !connection.has_unread_input()
+                && connection.state.check_deadline(now, connection.stream.flushed())
+                    == DeadlineAction::SendTimeout
             {
-                send(poll, edge, 408, &[], b"");
+                send(poll, connection, 408, &[], b"");
             }
-            self.settle(token, now);
-            self.place(token);
+            self.advance_closing(token, now);
+            self.update_indexes(token);
         }
     }
 
     /// When [`HttpFront::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        let sent_away = match self.connection_policy {
-            Connections::EndUnused(_) | Connections::End if !self.edges.is_empty() => {
-                Some(self.swept_at.plus(SWEEP))
+        let next_sweep = match self.connection_policy {
+            Connections::EndUnused(_) | Connections::End if !self.connections.is_empty() => {
+                Some(self.last_sweep.plus(SWEEP_INTERVAL))
             }
             _ => None,
         };
-        let ends = self.ends.first().map(|&(at, _)| at.max(self.swept_at.plus(SWEEP)));
-        sent_away.into_iter().chain(ends).min()
+        let deadlines = self.deadlines.first().map(|&(at, _)| at.max(self.last_sweep.plus(SWEEP_INTERVAL)));
+        next_sweep.into_iter().chain(deadlines).min()
     }
 }
 
-impl Edge {
-    /// Bytes have come that are still with the system, and that would be read as a request now.
-    fn unread(&self) -> bool {
-        self.life.accepts_requests() && self.stream.flushed() && self.stream.unread()
+impl ClientConnection {
+    /// Whether the socket holds unread input that would be read as a request now.
+    fn has_unread_input(&self) -> bool {
+        self.state.accepts_requests() && self.stream.flushed() && self.stream.unread()
     }
 
-    /// Nothing is under way on it: nothing has come that is still to be read, and all is written.
-    fn idle(&self) -> bool {
-        matches!(self.life, ConnectionState::Open { .. } | ConnectionState::Idle { .. })
+    /// Whether no request is in progress, no input is unread and all output is written.
+    fn is_quiescent(&self) -> bool {
+        matches!(self.state, ConnectionState::Open { .. } | ConnectionState::Idle { .. })
             && self.stream.quiet()
             && self.stream.flushed()
     }
 }
 
-impl Spot {
-    const NONE: Spot = Spot { ends_at: Micros(0), rank: (false, false, Micros(0)), unused: false };
+impl IndexKeys {
+    const NONE: IndexKeys =
+        IndexKeys { deadline: Micros(0), rank: (false, false, Micros(0)), is_idle: false };
 }
 
-fn send(poll: &Poll, edge: &mut Edge, status: u16, headers: &[(&str, &str)], body: &[u8]) {
+fn send(poll: &Poll, connection: &mut ClientConnection, status: u16, headers: &[(&str, &str)], body: &[u8]) {
     let allow = [("Allow", if status == 405 { "POST" } else { "" })];
     let headers = if status == 405 { &allow[..] } else { headers };
-    if edge.stream.send(poll, &http::write_answer(status, headers, body, edge.life.is_closing())).is_err() {
-        edge.life = ConnectionState::Gone;
+    if connection
+        .stream
+        .send(poll, &http::write_answer(status, headers, body, connection.state.is_closing()))
+        .is_err()
+    {
+        connection.state = ConnectionState::Gone;
     }
 }
 
-/// The offer that a request makes, or the status that it is answered with.
-fn offer(token: Token, request: Request, directory: &Directory, is_ready: bool) -> Result<Offer, u16> {
+/// Parses the submission of a request, or returns the status that answers it.
+fn parse_submission(
+    token: Token,
+    request: Request,
+    directory: &Directory,
+    is_ready: bool,
+) -> Result<Offer, u16> {
     let path = request.target.split('?').next().unwrap_or_default();
     match (path, request.method.as_str()) {
         ("/ready", "GET" | "HEAD") => return Err(if is_ready { 200 } else { 503 }),
@@ -469,9 +509,9 @@
     let headers = &request.headers;
     let name = |name: &str| -> Result<Option<Rc<[u8]>>, u16> {
         let value = headers.get(name).filter(|value| !value.is_empty());
-        // In a call of several, names stand between spaces on a line.
+        // Batch calls to endpoints write these names on one line, separated by spaces.
         if value.is_some_and(|value| {
-            value.len() > LONGEST_NAME || !value.bytes().all(|byte| byte.is_ascii_graphic())
+            value.len() > MAX_NAME_BYTES || !value.bytes().all(|byte| byte.is_ascii_graphic())
         }) {
             return Err(400);
         }
@@ -481,7 +521,7 @@
     Ok(Offer {
         token,
         front: HTTP_FRONT,
-        // Real servers tell messages of this front apart by their ids alone, whoever's they are.
+        // Endpoints distinguish messages of this front by their ids alone, across tenants.
         space: Space::Front,
         tell_delivered: false,
         tenant: directory.tenant_index(headers.get("Tenant")).ok_or(400u16)?,
