--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -1,8 +1,8 @@
-//! AMQP's front: a server for publishers, and for the consumers of their answers.
+//! The AMQP front: a server for publishers and for the consumers of their answers.
 //!
-//! A publish is an offer; `basic.ack` tells that it was taken on, `basic.nack` that it was turned down. The one
-//! final answer goes to the queue named by `reply-to`, and stays in the journal until a consumer has acked it. A
-//! queue is a name within a tenant; it outlasts connections, unless it was declared exclusive.
+//! A publish submits a message; `basic.ack` confirms that it was accepted, `basic.nack` that it was rejected. The final
+//! outcome goes as an answer to the queue named by `reply-to`, and stays in the journal until a consumer has acknowledged
+//! it. A queue belongs to a tenant and outlives connections, unless it was declared exclusive.
 
 mod methods;
 mod publishing;
@@ -24,24 +24,25 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-const HEARTBEAT: u16 = 30;
-/// Channels of one connection at most.
-const MOST_CHANNELS: u16 = 64;
-/// Connections at most.
-const MOST_CONNECTIONS: usize = 64;
-/// Answers that wait in one queue at most; beyond, publishes that name it are turned down.
-const MOST_WAITING: usize = 1000;
-/// Queues of one tenant at most.
-const MOST_QUEUES: usize = 256;
-/// A handshake takes no longer.
-const HANDSHAKE: Micros = Micros(3_000_000);
-const LONGEST_BODY: u64 = crate::net::http::LONGEST_BODY as u64;
-
-/// An answer that waits to be acked.
+/// Heartbeat interval proposed to clients.
+const HEARTBEAT_SECONDS: u16 = 30;
+/// Limit on the channels of one connection.
+const MAX_CHANNELS: u16 = 64;
+/// Limit on the connections of this front.
+const MAX_CONNECTIONS: usize = 64;
+/// Limit on the answers in one queue, including unacknowledged ones. Publishes that name a full queue are rejected.
+const MAX_QUEUED_ANSWERS: usize = 1000;
+/// Limit on the queues of one tenant.
+const MAX_QUEUES: usize = 256;
+/// Time after which a connection that is not open yet, or is closing, is dropped.
+const HANDSHAKE_TIMEOUT: Micros = Micros(3_000_000);
+const MAX_BODY_BYTES: u64 = crate::net::http::LONGEST_BODY as u64;
+
+/// An answer that waits for an acknowledgement.
 #[derive(Clone, Debug)]
 struct Answer {
-    /// The flow whose end is owed; none for the known answer to a repeat.
-    flow: Option<MessageId>,
+    /// The message whose outcome is to be delivered; none when the answer repeats a known outcome to a resubmission.
+    message: Option<MessageId>,
     id: Rc<[u8]>,
     correlation: Rc<[u8]>,
     end: End,
@@ -51,9 +52,9 @@
 #[derive(Default)]
 struct Queue {
     waiting: VecDeque<Answer>,
-    /// Out at consumers, unacked.
-    out: usize,
-    /// Gone with that connection.
+    /// Answers delivered to consumers and not acknowledged.
+    unacked: usize,
+    /// The connection that declared the queue exclusive; the queue is deleted with it.
     exclusive: Option<u64>,
 }
 
@@ -65,20 +66,20 @@
     no_ack: bool,
 }
 
-/// Mandatory, properties with the size, body so far.
-type Coming = (bool, Option<(Properties, u64)>, Vec<u8>);
+/// The mandatory flag, the properties with the body size, and the body received so far.
+type IncomingPublish = (bool, Option<(Properties, u64)>, Vec<u8>);
 
 #[derive(Default)]
 struct Channel {
     confirms: bool,
     published: u64,
-    /// A publish whose content is still coming.
-    coming: Option<Coming>,
+    /// A publish whose content has not been received in full.
+    incoming: Option<IncomingPublish>,
     consumers: Vec<Consumer>,
     prefetch: usize,
     delivered: u64,
     unacked: BTreeMap<u64, (QueueName, Answer)>,
-    /// After an error: nothing counts until the peer confirms the close.
+    /// Closed after an error: frames are ignored until the peer confirms the close.
     closing: bool,
 }
 
@@ -96,18 +97,18 @@
     stream: Stream,
     stage: Stage,
     tenant: usize,
-    /// What it logged in with.
+    /// Credentials of its login.
     login: Option<Login>,
     frame_max: u32,
     channel_max: u16,
-    began: Micros,
+    started_at: Micros,
     heartbeats: HeartbeatTimer,
     channels: BTreeMap<u16, Channel>,
     out: Vec<u8>,
 }
 
-/// An offer that is with the core.
-struct Asked {
+/// A submission that the core has not answered yet.
+struct PendingSubmission {
     connection: u64,
     channel: u16,
     tag: u64,
@@ -116,48 +117,48 @@
     id: Rc<[u8]>,
 }
 
-/// See the module's text.
+/// The AMQP front.
 pub struct AmqpFront {
     listener: TcpListener,
     credentials: Vec<Login>,
     directory: Rc<Directory>,
     publishers: BTreeMap<u64, Publisher>,
     queues: BTreeMap<QueueName, Queue>,
-    asked: BTreeMap<Token, Asked>,
+    pending: BTreeMap<Token, PendingSubmission>,
     next_token: Token,
-    /// For the names of queues that the server names: distinct over restarts.
+    /// Number of the next generated queue or consumer name. It starts from the clock, so that names differ across restarts.
     next_name: u64,
-    /// How often no connection could be taken though one was there.
+    /// Number of pending connections that could not be accepted.
     pub listener_failures: u64,
 }
 
 impl AmqpFront {
-    /// Another address, which the poll waits for already. Who is connected stays so: a connection is long, and none of
-    /// what it is owed is lost by waiting.
+    /// Switches to a listener on another address, which is already registered with the poll. Open connections stay: they
+    /// are long-lived, and their pending answers are not lost by waiting.
     pub fn move_to(&mut self, listener: TcpListener) {
         self.listener = listener;
     }
 
-    /// Other names and logins count from now on. Connections whose login is no longer among them are closed, as a
-    /// broker closes them: 320. Cost: the connections held.
+    /// Applies new names and logins. Connections whose login was removed are closed with code 320
+    /// (connection-forced), as a broker does. Visits all connections.
     pub fn configure(&mut self, directory: Rc<Directory>, credentials: Vec<Login>, now: Micros) {
         (self.directory, self.credentials) = (directory, credentials);
         for publisher in self.publishers.values_mut() {
             let Some(login) = &publisher.login else { continue };
             if publisher.stage != Stage::Closing && !self.credentials.contains(login) {
-                let told = amqp::Fault(320, "the login is no longer valid".into());
-                amqp::write_close(&mut publisher.out, 0, &told, (0, 0));
-                (publisher.stage, publisher.began) = (Stage::Closing, now);
+                let reason = amqp::Fault(320, "the login is no longer valid".into());
+                amqp::write_close(&mut publisher.out, 0, &reason, (0, 0));
+                (publisher.stage, publisher.started_at) = (Stage::Closing, now);
             }
         }
     }
 
-    /// The listener, for the process that follows.
+    /// The listener, to be handed over to the successor process.
     pub fn listener(&self) -> &TcpListener {
         &self.listener
     }
 
-    /// The poll waits for the listener already.
+    /// Creates the front. The listener is already registered with the poll.
     pub fn new(
         listener: TcpListener,
         credentials: Vec<Login>,
@@ -171,27 +172,27 @@
             listener_failures: 0,
             publishers: BTreeMap::new(),
             queues: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_token: 0,
             next_name: now.0,
         }
     }
 
-    /// New connections are there.
+    /// Accepts the pending connections of the listener.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         loop {
             let Some(socket) = stream::next(&self.listener, "amqp", &mut self.listener_failures) else {
                 break;
             };
-            if self.publishers.len() >= MOST_CONNECTIONS {
-                // Who is silent before it has opened costs nobody else a place.
+            if self.publishers.len() >= MAX_CONNECTIONS {
+                // A connection that is silent before it is open makes room for the new one.
                 let silent =
                     self.publishers.iter().filter(|(_, one)| one.stage != Stage::Ready && one.stream.quiet());
-                let oldest = silent.min_by_key(|(_, one)| one.began).map(|(&token, _)| token);
+                let oldest = silent.min_by_key(|(_, one)| one.started_at).map(|(&token, _)| token);
                 oldest.map(|token| self.publishers.remove(&token));
             }
-            if self.publishers.len() >= MOST_CONNECTIONS {
-                log!("amqp: {MOST_CONNECTIONS} connections, one more turned down");
+            if self.publishers.len() >= MAX_CONNECTIONS {
+                log!("amqp: {MAX_CONNECTIONS} connections, rejecting one more");
                 continue;
             }
             let token = poll.token(Peer::Publisher);
@@ -202,8 +203,8 @@
                 tenant: 0,
                 login: None,
                 frame_max: amqp::FRAME_MAX,
-                channel_max: MOST_CHANNELS,
-                began: now,
+                channel_max: MAX_CHANNELS,
+                started_at: now,
                 heartbeats: HeartbeatTimer::new(0, now),
                 channels: BTreeMap::new(),
                 out: Vec::new(),
@@ -212,12 +213,12 @@
         }
     }
 
-    /// A connection is ready.
+    /// Handles readiness of a connection.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
         let Some(publisher) = self.publishers.get_mut(&token) else { return };
-        let mut over = publisher.stream.ready(poll).is_err() || publisher.stream.ended;
+        let mut must_close = publisher.stream.ready(poll).is_err() || publisher.stream.ended;
         publisher.heartbeats.last_received = now;
-        while !over {
+        while !must_close {
             let Some(publisher) = self.publishers.get_mut(&token) else { return };
             let input = &publisher.stream.input;
             if publisher.stage == Stage::Protocol {
@@ -226,30 +227,30 @@
                 }
                 if !input.starts_with(amqp::PROTOCOL) {
                     publisher.out.extend(amqp::PROTOCOL);
-                    over = true;
+                    must_close = true;
                     break;
                 }
                 publisher.stream.input.drain(..amqp::PROTOCOL.len());
                 publisher.stage = Stage::StartOk;
-                publisher.start();
+                publisher.write_start();
                 continue;
             }
             let result = match amqp::read_frame(input, publisher.frame_max) {
                 Ok(None) => break,
                 Ok(Some((frame, used))) => {
                     publisher.stream.input.drain(..used);
-                    self.take(token, frame, now, inputs)
+                    self.handle_frame(token, frame, now, inputs)
                 }
                 Err(problem) => Err((problem, (0, 0), 0)),
             };
             let Some(publisher) = self.publishers.get_mut(&token) else { return };
             match result {
-                Ok(going) => over = !going,
+                Ok(stays_open) => must_close = !stays_open,
                 Err((problem, cause, 0)) => {
                     log!("amqp: closing a connection: {} {}", problem.0, problem.1);
                     amqp::write_close(&mut publisher.out, 0, &problem, cause);
-                    // What cannot be framed cannot be read on; else the peer's close-ok is waited for.
-                    over = problem.0 == 501;
+                    // After a frame error the input cannot be parsed further; otherwise the peer's close-ok is awaited.
+                    must_close = problem.0 == 501;
                     publisher.stage = Stage::Closing;
                 }
                 Err((problem, cause, channel)) => {
@@ -259,8 +260,8 @@
         }
         self.push_to_consumers(inputs);
         self.flush(poll, token, now, inputs);
-        if over {
-            self.lose(token, inputs);
+        if must_close {
+            self.disconnect(token, inputs);
         }
     }
 
@@ -270,21 +271,21 @@
         if !out.is_empty() {
             publisher.heartbeats.last_sent = now;
             if publisher.stream.send(poll, &out).is_err() {
-                self.lose(token, inputs);
+                self.disconnect(token, inputs);
             }
         }
     }
 
-    /// A connection is gone: its unacked answers wait again, its exclusive queues go with it.
-    fn lose(&mut self, token: u64, inputs: &mut Vec<Input>) {
+    /// Drops a connection: its unacknowledged answers are requeued and its exclusive queues are deleted.
+    fn disconnect(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let numbers: Vec<u16> =
             self.publishers.get(&token).map_or(Vec::new(), |p| p.channels.keys().copied().collect());
         numbers.into_iter().for_each(|number| self.drop_channel(token, number));
         self.publishers.remove(&token);
-        let gone = self.queues.iter().filter(|(_, queue)| queue.exclusive == Some(token));
-        let gone: Vec<QueueName> = gone.map(|(name, _)| name.clone()).collect();
-        for name in &gone {
-            self.delete(name, inputs);
+        let exclusive = self.queues.iter().filter(|(_, queue)| queue.exclusive == Some(token));
+        let exclusive: Vec<QueueName> = exclusive.map(|(name, _)| name.clone()).collect();
+        for name in &exclusive {
+            self.remove_queue(name, inputs);
         }
     }
 
@@ -292,18 +293,19 @@
         let Some(publisher) = self.publishers.get_mut(&token) else { return };
         let Some(channel) = publisher.channels.remove(&number) else { return };
         for (name, answer) in channel.unacked.into_values().rev() {
-            put_back(&mut self.queues, &name, answer);
+            requeue(&mut self.queues, &name, answer);
         }
     }
 
-    fn delete(&mut self, name: &QueueName, inputs: &mut Vec<Input>) -> usize {
+    fn remove_queue(&mut self, name: &QueueName, inputs: &mut Vec<Input>) -> usize {
         let Some(queue) = self.queues.remove(name) else { return 0 };
-        inputs.extend(queue.waiting.iter().filter_map(|answer| answer.flow).map(Input::Told));
+        inputs.extend(queue.waiting.iter().filter_map(|answer| answer.message).map(Input::Told));
         queue.waiting.len()
     }
 
-    /// One frame; false when the connection is over. An error names the channel that it closes, 0 for all.
-    fn take(
+    /// Handles one frame. Returns whether the connection stays open. An error contains the channel that it closes, or 0
+    /// for the whole connection.
+    fn handle_frame(
         &mut self,
         token: u64,
         Frame { channel: number, content }: Frame,
@@ -311,74 +313,75 @@
         inputs: &mut Vec<Input>,
     ) -> Result<bool, (Fault, Method, u16)> {
         let Some(publisher) = self.publishers.get_mut(&token) else { return Ok(false) };
-        let all = |problem: Fault| (problem, (0, 0), 0);
+        let connection_error = |problem: Fault| (problem, (0, 0), 0);
         match content {
             Content::Heartbeat if number == 0 => Ok(true),
-            Content::Heartbeat => fault(501, "heartbeat on a channel").map_err(all),
+            Content::Heartbeat => fault(501, "heartbeat on a channel").map_err(connection_error),
             Content::Method(name, bytes) if number == 0 => self
                 .connection_method(token, name, &mut Args(&bytes), now)
                 .map_err(|problem| (problem, name, 0)),
             _ if publisher.stage == Stage::Closing => Ok(true),
-            _ if publisher.stage != Stage::Ready => fault(503, "not open yet").map_err(all),
+            _ if publisher.stage != Stage::Ready => fault(503, "not open yet").map_err(connection_error),
             Content::Method(name, bytes) => {
                 self.channel_method(token, number, name, &mut Args(&bytes), inputs).map_err(|problem| {
-                    // Faults of form close the connection; those of content, the channel.
-                    let hard = matches!(problem.0, 501..=540);
-                    (problem, name, if hard { 0 } else { number })
+                    // Protocol errors close the connection; all others close the channel.
+                    let closes_connection = matches!(problem.0, 501..=540);
+                    (problem, name, if closes_connection { 0 } else { number })
                 })
             }
             Content::Header(size, properties) => {
                 let Some(channel) = publisher.channels.get_mut(&number) else {
-                    return fault(504, "channel not open").map_err(all);
+                    return fault(504, "channel not open").map_err(connection_error);
                 };
                 if channel.closing {
                     return Ok(true);
                 }
-                let Some((_, header @ None, _)) = &mut channel.coming else {
-                    return fault(505, "content header without a publish").map_err(all);
+                let Some((_, header @ None, _)) = &mut channel.incoming else {
+                    return fault(505, "content header without a publish").map_err(connection_error);
                 };
-                if size > LONGEST_BODY {
+                if size > MAX_BODY_BYTES {
                     return fault(311, "content too large").map_err(|f| (f, method::PUBLISH, number));
                 }
                 *header = Some((properties, size));
-                self.published(token, number, inputs)
+                self.submit_if_complete(token, number, inputs)
             }
             Content::Body(part) => {
                 let Some(channel) = publisher.channels.get_mut(&number) else {
-                    return fault(504, "channel not open").map_err(all);
+                    return fault(504, "channel not open").map_err(connection_error);
                 };
                 if channel.closing {
                     return Ok(true);
                 }
-                let Some((_, Some((_, size)), body)) = &mut channel.coming else {
-                    return fault(505, "content body without a header").map_err(all);
+                let Some((_, Some((_, size)), body)) = &mut channel.incoming else {
+                    return fault(505, "content body without a header").map_err(connection_error);
                 };
                 body.extend(part);
                 if body.len() as u64 > *size {
-                    return fault(502, "content longer than its header says").map_err(all);
+                    return fault(502, "content longer than its header says").map_err(connection_error);
                 }
-                self.published(token, number, inputs)
+                self.submit_if_complete(token, number, inputs)
             }
         }
     }
 
-    /// Connections by tenant: what each that may log in has and may have. Cost: the connections held and the tenants, for
-    /// each login.
-    fn parts(&self) -> Shares {
-        let places = |login: &Login| self.directory.tenants.active_index(&login.tenant);
-        let mut told = vec![(0.0, ShareLimits::default()); self.directory.tenants.len()];
-        self.credentials.iter().filter_map(places).for_each(|place| told[place].0 = 1.0);
-        let mut parts = Shares::default();
-        parts.configure(MOST_CONNECTIONS as u64, &bounds(MOST_CONNECTIONS as u64, &told));
+    /// Connections by tenant: the number in use and the share of each tenant with a login. Each login costs one pass over
+    /// the connections and the tenants.
+    fn connection_shares(&self) -> Shares {
+        let tenant_index = |login: &Login| self.directory.tenants.active_index(&login.tenant);
+        let mut limits = vec![(0.0, ShareLimits::default()); self.directory.tenants.len()];
+        self.credentials.iter().filter_map(tenant_index).for_each(|tenant| limits[tenant].0 = 1.0);
+        let mut shares = Shares::default();
+        shares.configure(MAX_CONNECTIONS as u64, &bounds(MAX_CONNECTIONS as u64, &limits));
         let logged_in = self.publishers.values().filter(|one| one.login.is_some());
-        logged_in.for_each(|one| parts.acquire(one.tenant, 1));
-        parts
+        logged_in.for_each(|one| shares.acquire(one.tenant, 1));
+        shares
     }
 
-    /// The end of a flow: to its reply queue. Where nobody asked for it, it is told already.
+    /// Queues the final outcome of a message in its reply queue. Without a reply queue, or with an exclusive one that
+    /// has been deleted, the outcome counts as reported.
     pub fn queue_outcome(
         &mut self,
-        flow: MessageId,
+        message: MessageId,
         tenant: usize,
         id: Rc<[u8]>,
         (origin, end): (&[u8], End),
@@ -388,18 +391,18 @@
         let (Ok(exclusive), Ok(name), Ok(correlation)) =
             (origin.octet(), origin.short_string(), origin.short_string())
         else {
-            return inputs.push(Input::Told(flow));
+            return inputs.push(Input::Told(message));
         };
         let key = (tenant, Rc::from(name));
         if exclusive != 0 && !self.queues.contains_key(&key) {
-            return inputs.push(Input::Told(flow));
+            return inputs.push(Input::Told(message));
         }
         let answer =
-            Answer { flow: Some(flow), id, correlation: correlation.into(), end, redelivered: false };
+            Answer { message: Some(message), id, correlation: correlation.into(), end, redelivered: false };
         self.queues.entry(key).or_default().waiting.push_back(answer);
     }
 
-    /// Hands waiting answers to consumers.
+    /// Delivers waiting answers to consumers.
     pub fn push_to_consumers(&mut self, inputs: &mut Vec<Input>) {
         for publisher in self.publishers.values_mut().filter(|p| p.stage == Stage::Ready) {
             let (out, frame_max) = (&mut publisher.out, publisher.frame_max);
@@ -419,32 +422,33 @@
                         head.put_short_string(&key.1);
                         amqp::write_method(out, number, method::DELIVER, &head);
                         write_answer(out, number, &answer, frame_max);
-                        hand_over(channel, queue, key.clone(), answer, no_ack, inputs);
+                        track_delivery(channel, queue, key.clone(), answer, no_ack, inputs);
                     }
                 }
             }
         }
     }
 
-    /// Sends what has been written for each connection.
+    /// Sends the pending output of each connection.
     pub fn flush_all(&mut self, poll: &Poll, now: Micros, inputs: &mut Vec<Input>) {
         let pending: Vec<u64> =
             self.publishers.iter().filter(|(_, p)| !p.out.is_empty()).map(|(&token, _)| token).collect();
         pending.into_iter().for_each(|token| self.flush(poll, token, now, inputs));
     }
 
-    /// Heartbeats; ends connections gone silent, and handshakes that take too long.
+    /// Sends heartbeats; drops connections that have been silent too long and handshakes that take too long.
     pub fn tick(&mut self, poll: &Poll, now: Micros, inputs: &mut Vec<Input>) {
-        let mut lost = Vec::new();
+        let mut expired = Vec::new();
         for (&token, publisher) in &mut self.publishers {
-            let slow = publisher.stage != Stage::Ready && publisher.began.plus(HANDSHAKE) <= now;
-            if slow || publisher.heartbeats.has_expired(now) {
-                lost.push(token);
+            let timed_out =
+                publisher.stage != Stage::Ready && publisher.started_at.plus(HANDSHAKE_TIMEOUT) <= now;
+            if timed_out || publisher.heartbeats.has_expired(now) {
+                expired.push(token);
             } else if publisher.heartbeats.is_send_due(now) {
                 amqp::write_heartbeat(&mut publisher.out);
             }
         }
-        lost.into_iter().for_each(|token| self.lose(token, inputs));
+        expired.into_iter().for_each(|token| self.disconnect(token, inputs));
         self.push_to_consumers(inputs);
         self.flush_all(poll, now, inputs);
     }
@@ -453,14 +457,14 @@
     pub fn due(&self) -> Option<Micros> {
         let due = |publisher: &Publisher| match publisher.stage {
             Stage::Ready => publisher.heartbeats.next_due(),
-            _ => Some(publisher.began.plus(HANDSHAKE)),
+            _ => Some(publisher.started_at.plus(HANDSHAKE_TIMEOUT)),
         };
         self.publishers.values().filter_map(due).min()
     }
 }
 
 impl Publisher {
-    fn start(&mut self) {
+    fn write_start(&mut self) {
         let capabilities = ["publisher_confirms", "basic.nack", "authentication_failure_close"]
             .map(|name| (name.to_owned(), Value::Flag(true)))
             .to_vec();
@@ -476,15 +480,16 @@
     }
 }
 
-/// An answer that was out at a consumer waits again, first of its queue.
-fn put_back(queues: &mut BTreeMap<QueueName, Queue>, name: &QueueName, answer: Answer) {
+/// Puts an unacknowledged answer back at the head of its queue.
+fn requeue(queues: &mut BTreeMap<QueueName, Queue>, name: &QueueName, answer: Answer) {
     let queue = queues.entry(name.clone()).or_default();
-    queue.out = queue.out.saturating_sub(1);
+    queue.unacked = queue.unacked.saturating_sub(1);
     queue.waiting.push_front(Answer { redelivered: true, ..answer });
 }
 
-/// An answer has been written to a consumer: it is told, or waits to be acked.
-fn hand_over(
+/// Records that an answer was written to a consumer: with `no_ack` it counts as reported, otherwise it waits for an
+/// acknowledgement.
+fn track_delivery(
     channel: &mut Channel,
     queue: &mut Queue,
     key: QueueName,
@@ -493,9 +498,9 @@
     inputs: &mut Vec<Input>,
 ) {
     if no_ack {
-        inputs.extend(answer.flow.map(Input::Told));
+        inputs.extend(answer.message.map(Input::Told));
     } else {
-        queue.out += 1;
+        queue.unacked += 1;
         channel.unacked.insert(channel.delivered, (key, answer));
     }
 }
@@ -507,8 +512,8 @@
         End::Undeliverable | End::Over => "undeliverable",
     };
     let mut headers = vec![("status".to_owned(), Value::Text(status.into()))];
-    if let End::Deferred(again) = answer.end {
-        headers.push(("again_ms".to_owned(), Value::Number(again.0.div_ceil(1000) as i64)));
+    if let End::Deferred(retry_after) = answer.end {
+        headers.push(("again_ms".to_owned(), Value::Number(retry_after.0.div_ceil(1000) as i64)));
     }
     let properties = Properties {
         headers,
@@ -522,25 +527,25 @@
 
 type ReplyTo = Option<(Rc<[u8]>, Rc<[u8]>)>;
 
-/// The offer that a content makes. What is missing or unknown closes the channel.
-fn offer(
+/// Parses a submission from a publish. Missing or unknown properties close the channel.
+fn parse_submission(
     token: Token,
     tenant: usize,
     directory: &Directory,
     properties: Properties,
     body: Vec<u8>,
 ) -> Result<(Offer, ReplyTo), Fault> {
-    let graphic = |name: &[u8]| !name.is_empty() && name.iter().all(u8::is_ascii_graphic);
+    let is_graphic = |name: &[u8]| !name.is_empty() && name.iter().all(u8::is_ascii_graphic);
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let destination = properties.header("dest").and_then(|dest| text(&dest).parse().ok());
     let Some(destination) = destination.map(DestinationId) else {
         return fault(406, "header dest is missing or no number");
     };
     let key: Option<Rc<[u8]>> = properties.header("key").map(Rc::from);
-    let Some(id) = properties.message_id.clone().filter(|id| graphic(id)) else {
+    let Some(id) = properties.message_id.clone().filter(|id| is_graphic(id)) else {
         return fault(406, "message-id is missing or not plain");
     };
-    if key.as_ref().is_some_and(|key| !graphic(key) || key.len() > 255) {
+    if key.as_ref().is_some_and(|key| !is_graphic(key) || key.len() > 255) {
         return fault(406, "header key is not plain");
     }
     let kind = properties.kind.clone().unwrap_or_default();
--- a/src/net/clients/amqp/methods.rs
+++ b/src/net/clients/amqp/methods.rs
@@ -1,4 +1,4 @@
-//! Methods of connections and channels, each answered at once.
+//! Handlers of connection and channel methods; each is answered immediately.
 
 use super::*;
 
@@ -10,14 +10,14 @@
         args: &mut Args,
         now: Micros,
     ) -> Result<bool, Fault> {
-        let shares = if name == method::START_OK { self.parts() } else { Shares::default() };
+        let shares = if name == method::START_OK { self.connection_shares() } else { Shares::default() };
         let Some(publisher) = self.publishers.get_mut(&token) else { return Ok(false) };
         match (publisher.stage, name) {
             (_, method::CLOSE) => {
-                // The peer ends the connection once it has read this: ended from here, the end may overtake
-                // the close-ok in its library, which then reports an aborted connection.
+                // The peer closes the connection once it has read this. If this side closed it, the peer's library might
+                // see the end before the close-ok and report an aborted connection.
                 amqp::write_method(&mut publisher.out, 0, method::CLOSE_OK, &[]);
-                (publisher.stage, publisher.began) = (Stage::Closing, now);
+                (publisher.stage, publisher.started_at) = (Stage::Closing, now);
                 let numbers: Vec<u16> = publisher.channels.keys().copied().collect();
                 numbers.into_iter().for_each(|number| self.drop_channel(token, number));
             }
@@ -30,7 +30,7 @@
                 let (_, user, password) = (parts.next(), parts.next(), parts.next());
                 let known = self.credentials.iter().find(|known| {
                     user == Some(known.user.as_bytes())
-                        && password.is_some_and(|told| known.password.matches(told))
+                        && password.is_some_and(|password| known.password.matches(password))
                 });
                 let Some(known) = known.filter(|_| mechanism == b"PLAIN") else {
                     return fault(403, "access refused");
@@ -44,17 +44,17 @@
                 (publisher.tenant, publisher.login) = (tenant, Some(known.clone()));
                 publisher.stage = Stage::TuneOk;
                 let mut tune = Vec::new();
-                tune.put_short(MOST_CHANNELS);
+                tune.put_short(MAX_CHANNELS);
                 tune.put_long(amqp::FRAME_MAX);
-                tune.put_short(HEARTBEAT);
+                tune.put_short(HEARTBEAT_SECONDS);
                 amqp::write_method(&mut publisher.out, 0, method::TUNE, &tune);
             }
             (Stage::TuneOk, method::TUNE_OK) => {
                 let (channels, frame, heartbeat) = (args.short()?, args.long()?, args.short()?);
-                if channels > MOST_CHANNELS || frame > amqp::FRAME_MAX || (1..4096).contains(&frame) {
+                if channels > MAX_CHANNELS || frame > amqp::FRAME_MAX || (1..4096).contains(&frame) {
                     return fault(530, "limits beyond those offered");
                 }
-                publisher.channel_max = if channels == 0 { MOST_CHANNELS } else { channels };
+                publisher.channel_max = if channels == 0 { MAX_CHANNELS } else { channels };
                 publisher.frame_max = if frame == 0 { amqp::FRAME_MAX } else { frame };
                 publisher.heartbeats = HeartbeatTimer::new(heartbeat, now);
                 publisher.stage = Stage::Open;
@@ -100,7 +100,7 @@
             }
             return Ok(true);
         }
-        if channel.coming.is_some() && name != method::CHANNEL_CLOSE {
+        if channel.incoming.is_some() && name != method::CHANNEL_CLOSE {
             return fault(505, "method within a content");
         }
         let out = &mut publisher.out;
@@ -128,7 +128,7 @@
                 if !exchange.is_empty() {
                     return fault(404, "no such exchange: publish to the default one");
                 }
-                channel.coming = Some((bits & 1 != 0, None, Vec::new()));
+                channel.incoming = Some((bits & 1 != 0, None, Vec::new()));
             }
             method::QUEUE_DECLARE => return self.declare_queue(token, number, args),
             method::QUEUE_DELETE => return self.delete_queue(token, number, args, inputs),
@@ -156,34 +156,34 @@
         Ok(true)
     }
 
-    /// `queue.declare`: makes a queue, or tells of one.
+    /// `queue.declare`: creates a queue, or reports on an existing one.
     fn declare_queue(&mut self, token: u64, number: u16, args: &mut Args) -> Result<bool, Fault> {
         let Some(tenant) = self.publishers.get(&token).map(|publisher| publisher.tenant) else {
             return Ok(false);
         };
         args.short()?;
-        let (named, bits) = (args.short_string()?, args.octet()?);
-        let named: Rc<[u8]> = if named.is_empty() {
+        let (name, bits) = (args.short_string()?, args.octet()?);
+        let name: Rc<[u8]> = if name.is_empty() {
             self.next_name += 1;
             format!("amq.gen-{:x}", self.next_name).into_bytes().into()
         } else {
-            named.into()
+            name.into()
         };
-        let key = (tenant, named.clone());
+        let key = (tenant, name.clone());
         let (passive, exclusive) = (bits & 1 != 0, bits & 4 != 0);
-        let held = self.queues.keys().filter(|(owner, _)| *owner == tenant).count();
+        let queue_count = self.queues.keys().filter(|(owner, _)| *owner == tenant).count();
         match self.queues.get(&key) {
             Some(queue) if queue.exclusive.is_some_and(|owner| owner != token) => {
                 return fault(405, "queue is exclusive to another connection");
             }
             None if passive => return fault(404, "no such queue"),
-            None if held >= MOST_QUEUES => return fault(506, "too many queues"),
+            None if queue_count >= MAX_QUEUES => return fault(506, "too many queues"),
             _ => {}
         }
         let new = Queue { exclusive: exclusive.then_some(token), ..Queue::default() };
         let queue = self.queues.entry(key.clone()).or_insert(new);
         let mut reply = Vec::new();
-        reply.put_short_string(&named);
+        reply.put_short_string(&name);
         reply.put_long(queue.waiting.len() as u32);
         let consuming = self.publishers.values().flat_map(|p| p.channels.values());
         let consumers = consuming.flat_map(|c| &c.consumers).filter(|consumer| consumer.queue == key).count();
@@ -195,7 +195,7 @@
         Ok(true)
     }
 
-    /// `queue.delete`: answers that wait in it go back to whom they are owed.
+    /// `queue.delete`: the outcomes of the answers that wait in the queue count as reported.
     fn delete_queue(
         &mut self,
         token: u64,
@@ -212,7 +212,7 @@
         if bits & 2 != 0 && self.queues.get(&key).is_some_and(|queue| !queue.waiting.is_empty()) {
             return fault(406, "queue is not empty");
         }
-        let count = self.delete(&key, inputs);
+        let count = self.remove_queue(&key, inputs);
         let mut reply = Vec::new();
         reply.put_long(count as u32);
         let Some(publisher) = self.publishers.get_mut(&token) else { return Ok(false) };
@@ -222,7 +222,7 @@
         Ok(true)
     }
 
-    /// `basic.consume`: answers are pushed to this channel from now on.
+    /// `basic.consume`: registers a consumer, to which answers of the queue are pushed.
     fn consume(&mut self, token: u64, number: u16, args: &mut Args) -> Result<bool, Fault> {
         let Some(publisher) = self.publishers.get_mut(&token) else { return Ok(false) };
         let Some(channel) = publisher.channels.get_mut(&number) else { return Ok(false) };
@@ -251,7 +251,7 @@
         Ok(true)
     }
 
-    /// `basic.get`: one answer, if there is any.
+    /// `basic.get`: returns one answer, if the queue has any.
     fn get(
         &mut self,
         token: u64,
@@ -279,11 +279,11 @@
         head.put_long(queue.waiting.len() as u32);
         amqp::write_method(out, number, method::GET_OK, &head);
         write_answer(out, number, &answer, publisher.frame_max);
-        hand_over(channel, queue, key, answer, no_ack, inputs);
+        track_delivery(channel, queue, key, answer, no_ack, inputs);
         Ok(true)
     }
 
-    /// `basic.ack`, `basic.nack`, `basic.reject`: what was delivered is done with, or waits again.
+    /// `basic.ack`, `basic.nack`, `basic.reject`: completes deliveries, or requeues them.
     fn settle_deliveries(
         &mut self,
         token: u64,
@@ -296,25 +296,25 @@
         let Some(channel) = publisher.channels.get_mut(&number) else { return Ok(false) };
         let (tag, bits) = (args.long_long()?, args.octet()?);
         let multiple = name != method::REJECT && bits & 1 != 0;
-        let requeue = match name {
+        let return_to_queue = match name {
             method::NACK => bits & 2 != 0,
             method::REJECT => bits & 1 != 0,
             _ => false,
         };
-        let named = |known: &u64| *known == tag || multiple && (*known <= tag || tag == 0);
-        let tags: Vec<u64> = channel.unacked.keys().copied().filter(named).collect();
+        let is_settled = |known: &u64| *known == tag || multiple && (*known <= tag || tag == 0);
+        let tags: Vec<u64> = channel.unacked.keys().copied().filter(is_settled).collect();
         if tags.is_empty() && !(multiple && tag == 0) {
             return fault(406, "unknown delivery tag");
         }
         for tag in tags.into_iter().rev() {
             let Some((key, answer)) = channel.unacked.remove(&tag) else { continue };
-            if requeue {
-                put_back(&mut self.queues, &key, answer);
+            if return_to_queue {
+                requeue(&mut self.queues, &key, answer);
             } else {
                 if let Some(queue) = self.queues.get_mut(&key) {
-                    queue.out = queue.out.saturating_sub(1);
+                    queue.unacked = queue.unacked.saturating_sub(1);
                 }
-                inputs.extend(answer.flow.map(Input::Told));
+                inputs.extend(answer.message.map(Input::Told));
             }
         }
         Ok(true)
