--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The administration API: HTTP and JSON on a listener of its own, with bearer tokens. A token of a tenant sees that
-//! tenant only; to it, others do not exist. What concerns the configuration is in `changes`.
+//! The administration API: HTTP and JSON on a listener of its own, with bearer tokens. A tenant's token sees that
+//! tenant only; other tenants look non-existent to it. Requests about the configuration are handled in `changes`.
 
 pub mod changes;
 
@@ -19,70 +19,70 @@
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 
-/// Connections at most.
-const MOST: usize = 64;
-/// Flows in one answer at most.
-const MOST_FLOWS: usize = 1000;
-/// Longest body: an operators' file.
-const LONGEST_BODY: usize = 256 * 1024;
-/// A connection that has nothing asked is closed after so long.
-const UNUSED: Micros = Micros(30_000_000);
+/// Limit on open connections.
+const MAX_CONNECTIONS: usize = 64;
+/// Limit on the messages listed in one answer.
+const MAX_LISTED_MESSAGES: usize = 1000;
+/// Longest request body: a configuration document of the operators.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// Time after which a connection without a pending change is closed.
+const IDLE_TIMEOUT: Micros = Micros(30_000_000);
 const JSON: &str = "application/json";
-/// Of an answer that tells what is wrong (RFC 9457).
-pub const PROBLEM: &str = "application/problem+json";
+/// Content type of problem details (RFC 9457).
+pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// What there is to see.
+/// State that requests are answered from.
 #[derive(Clone, Copy)]
 pub struct ApiContext<'a> {
     /// The core.
     pub engine: &'a Engine,
-    /// The service entries.
+    /// The endpoint records.
     pub book: &'a Book,
-    /// The configuration.
+    /// The configuration and its versions.
     pub change_service: &'a ChangeService,
-    /// Now.
+    /// The current time.
     pub now: Micros,
 }
 
 struct Connection {
     stream: Stream,
-    /// A change is waited for: what comes meanwhile waits, too.
-    asked: bool,
+    /// A requested change is pending. Further input waits until it is answered.
+    awaits_change: bool,
     close: bool,
-    /// The token that it last used.
-    who: Option<Token>,
+    /// The token of the last request.
+    token: Option<Token>,
     used_at: Micros,
 }
 
-/// See the module's text.
+/// The administration API.
 pub struct Admin {
     listener: TcpListener,
     connections: BTreeMap<u64, Connection>,
     tokens: Vec<Token>,
-    /// Requests with each token, by its place in the list.
+    /// Rate limits of the tokens, by index in `tokens`.
     requests: ArrivalLimiter,
     retired: bool,
-    /// How often no connection could be taken though one was there.
+    /// Number of pending connections that could not be accepted.
     pub listener_failures: u64,
 }
 
-/// What a request hears.
+/// Answer to a request.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// HTTP's status.
+    /// HTTP status.
     pub status: u16,
-    /// The body's type.
+    /// Content type of the body.
     pub kind: &'static str,
     /// The body.
     pub body: String,
-    /// The version that it speaks of.
+    /// The configuration version that the answer refers to.
     pub etag: Option<u64>,
-    /// Seconds after which to come again.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
 }
 
 impl Answer {
-    /// A status alone.
+    /// Creates an answer with a status and no body.
     pub fn empty(status: u16) -> Answer {
         Answer {
             status,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A value.
+    /// Creates an answer with a JSON body.
     pub fn json(status: u16, value: &serde_json::Value) -> Answer {
         Answer { kind: JSON, body: format!("{value}\n"), ..Answer::empty(status) }
     }
@@ -104,7 +104,7 @@
 }
 
 impl Admin {
-    /// Listens; the poll waits for the listener already.
+    /// Creates the API. The listener is already registered with the poll.
     pub fn new(listener: TcpListener, tokens: Vec<Token>) -> Admin {
         let (connections, requests) = (BTreeMap::new(), ArrivalLimiter::default());
         let mut admin = Admin {
@@ -119,111 +119,114 @@
         admin
     }
 
-    /// The listener, for the process that follows.
+    /// The listener, to be handed over to the successor process.
     pub fn listener(&self) -> Option<&TcpListener> {
         (!self.retired).then_some(&self.listener)
     }
 
-    /// Another address. What is asked on connections to the old one is answered there.
+    /// Switches to a listener on another address. Requests on connections of the old one are still answered.
     pub fn move_to(&mut self, listener: TcpListener) {
         (self.listener, self.retired) = (listener, false);
     }
 
-    /// No address any more: nobody new is let in, and who waits for an answer hears it.
+    /// Stops accepting connections. Pending changes are still answered.
     pub fn retire(&mut self) {
         self.retired = true;
-        self.connections.retain(|_, one| one.asked);
+        self.connections.retain(|_, one| one.awaits_change);
         self.connections.values_mut().for_each(|one| one.close = true);
     }
 
-    /// It may be dropped.
+    /// Whether the API has been retired and no connection is left.
     pub fn is_done(&self) -> bool {
         self.retired && self.connections.is_empty()
     }
 
-    /// Other tokens count from now on; connections on which one that is gone was used are closed behind the answer that
-    /// they wait for. Cost: the connections held.
+    /// Applies new tokens. Connections whose token was removed are closed after their pending answer. Visits all
+    /// connections.
     pub fn configure(&mut self, tokens: Vec<Token>) {
         self.tokens = tokens;
-        // What was used of the old rates is forgotten: another list gives each token its burst anew.
+        // The use of the old rate limits is dropped: with a new list each token gets its full burst.
         self.requests = ArrivalLimiter::default();
         self.requests.configure(self.tokens.iter().map(|token| token.requests).collect());
         let known = |who: &Option<Token>| who.as_ref().is_none_or(|who| self.tokens.contains(who));
-        self.connections.retain(|_, one| one.asked || known(&one.who));
+        self.connections.retain(|_, one| one.awaits_change || known(&one.token));
         for one in self.connections.values_mut() {
-            one.close |= !known(&one.who);
+            one.close |= !known(&one.token);
         }
     }
 
-    /// New connections are there. The one unused for longest gives way where there are too many.
+    /// Accepts pending connections. At the limit, the least recently used one without a pending change is closed.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         while !self.retired {
             let Some(socket) = stream::next(&self.listener, "administration", &mut self.listener_failures)
             else {
                 break;
             };
-            if self.connections.len() >= MOST {
-                let idle = self.connections.iter().filter(|(_, one)| !one.asked);
+            if self.connections.len() >= MAX_CONNECTIONS {
+                let idle = self.connections.iter().filter(|(_, one)| !one.awaits_change);
                 let oldest = idle.min_by_key(|(_, one)| one.used_at).map(|(&token, _)| token);
                 oldest.map(|token| self.connections.remove(&token));
             }
-            if self.connections.len() >= MOST {
+            if self.connections.len() >= MAX_CONNECTIONS {
                 continue;
             }
             let token = poll.token(Peer::Admin);
             if let Ok(stream) = Stream::accepted(poll, token, socket) {
-                let one = Connection { stream, asked: false, close: false, who: None, used_at: now };
+                let one =
+                    Connection { stream, awaits_change: false, close: false, token: None, used_at: now };
                 self.connections.insert(token, one);
             }
         }
     }
 
-    /// Connections that ask nothing are closed. Cost: the connections held, 64 at most.
+    /// Closes idle connections. Visits all connections, 64 at most.
     pub fn tick(&mut self, now: Micros) {
-        self.connections.retain(|_, one| one.asked || one.used_at.plus(UNUSED) > now);
+        self.connections.retain(|_, one| one.awaits_change || one.used_at.plus(IDLE_TIMEOUT) > now);
     }
 
     /// When [`Admin::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        let idle = self.connections.values().filter(|one| !one.asked);
-        idle.map(|one| one.used_at.plus(UNUSED)).min()
+        let idle = self.connections.values().filter(|one| !one.awaits_change);
+        idle.map(|one| one.used_at.plus(IDLE_TIMEOUT)).min()
     }
 
-    /// A connection is ready. Changes that are asked for are added to `asks`; where too many wait, they are turned down.
+    /// Handles readiness of a connection. Requested changes are added to `changes`; while too many wait, they are
+    /// rejected.
     pub fn ready(
         &mut self,
         poll: &Poll,
         token: u64,
         context: ApiContext,
         inputs: &mut Vec<Input>,
-        asks: &mut impl Extend<QueuedChange>,
+        changes: &mut impl Extend<QueuedChange>,
         waiting: usize,
     ) {
         let Some(one) = self.connections.get_mut(&token) else { return };
         one.used_at = context.now;
-        if one.stream.ready(poll).is_err() || one.stream.input.len() > LONGEST_BODY + 2 * http::LONGEST_HEAD {
+        if one.stream.ready(poll).is_err() || one.stream.input.len() > MAX_BODY_BYTES + 2 * http::LONGEST_HEAD
+        {
             self.connections.remove(&token);
             return;
         }
-        self.read_requests(poll, token, context, inputs, asks, waiting);
+        self.read_requests(poll, token, context, inputs, changes, waiting);
     }
 
-    /// Reads what has come on a connection, up to the next change.
+    /// Processes the received input of a connection, up to the next change.
     pub fn read_requests(
         &mut self,
         poll: &Poll,
         token: u64,
         context: ApiContext,
         inputs: &mut Vec<Input>,
-        asks: &mut impl Extend<QueuedChange>,
+        changes: &mut impl Extend<QueuedChange>,
         waiting: usize,
     ) {
         loop {
             let Some(one) = self.connections.get_mut(&token) else { return };
-            if one.asked || one.stream.input.is_empty() {
+            if one.awaits_change || one.stream.input.is_empty() {
                 break;
             }
-            match http::request_within(&one.stream.input, LONGEST_BODY) {
+            match http::request_within(&one.stream.input, MAX_BODY_BYTES) {
                 Parsed::Partial { .. } => break,
                 Parsed::Bad(status) => {
                     one.close = true;
@@ -236,50 +239,56 @@
                     one.close |= request.close;
                     let bearer = request.headers.get("Authorization").and_then(|v| v.strip_prefix("Bearer "));
                     let bearer = bearer.unwrap_or_default().as_bytes();
-                    // Each is compared, so that the time does not tell which one was near.
-                    let fits = |known: &&Token| known.token.matches(bearer);
-                    let places = self.tokens.iter().enumerate().filter(|(_, known)| fits(known));
-                    let known = places.reduce(|_, known| known).map(|(place, known)| (place, known.clone()));
-                    one.who = known.as_ref().map(|(_, known)| known.clone());
-                    let verdict = match known {
+                    // All tokens are compared, so that the time taken does not reveal a near match.
+                    let matches = |known: &&Token| known.token.matches(bearer);
+                    let matching = self.tokens.iter().enumerate().filter(|(_, known)| matches(known));
+                    let known =
+                        matching.reduce(|_, known| known).map(|(index, known)| (index, known.clone()));
+                    one.token = known.as_ref().map(|(_, known)| known.clone());
+                    let handling = match known {
                         None => Handling::Answered(Answer::empty(401)),
-                        Some((place, known)) => match self.requests.admit(place, context.now) {
+                        Some((index, known)) => match self.requests.admit(index, context.now) {
                             Ok(()) => self.answer(&request, &known, context, inputs),
-                            Err(wait) => Handling::Answered(too_many(wait)),
+                            Err(wait) => Handling::Answered(rate_limited(wait)),
                         },
                     };
-                    match verdict {
+                    match handling {
                         Handling::Answered(answer) => self.send(poll, token, answer),
                         Handling::Queued(_) if waiting >= changes::MAX_QUEUED_CHANGES => {
-                            let told = format!("{waiting} changes wait already");
-                            let refusal = crate::config::desk::Refusal::new(503, told, "come again");
+                            let problem = format!("{waiting} changes wait already");
+                            let refusal = crate::config::desk::Refusal::new(503, problem, "come again");
                             self.send(
                                 poll,
                                 token,
                                 changes::refusal_answer(&refusal, context.change_service.versions().number()),
                             );
                         }
-                        Handling::Queued(ask) => self.wait(token, ask, asks),
+                        Handling::Queued(change) => self.queue_change(token, change, changes),
                     }
                 }
             }
         }
-        if self.connections.get(&token).is_some_and(|one| one.stream.ended && !one.asked) {
+        if self.connections.get(&token).is_some_and(|one| one.stream.ended && !one.awaits_change) {
             self.connections.remove(&token);
         }
     }
 
-    fn wait(&mut self, connection: u64, ask: ChangeRequest, asks: &mut impl Extend<QueuedChange>) {
+    fn queue_change(
+        &mut self,
+        connection: u64,
+        request: ChangeRequest,
+        changes: &mut impl Extend<QueuedChange>,
+    ) {
         let Some(one) = self.connections.get_mut(&connection) else { return };
-        one.asked = true;
-        let who = one.who.as_ref().map_or(String::new(), |token| token.name.clone());
-        asks.extend([QueuedChange { connection, who, ask }]);
+        one.awaits_change = true;
+        let who = one.token.as_ref().map_or(String::new(), |token| token.name.clone());
+        changes.extend([QueuedChange { connection, who, request }]);
     }
 
-    /// A change was carried out, or not.
+    /// Answers the pending change of a connection.
     pub fn complete_change(&mut self, poll: &Poll, connection: u64, answer: Answer) {
         if let Some(one) = self.connections.get_mut(&connection) {
-            one.asked = false;
+            one.awaits_change = false;
             self.send(poll, connection, answer);
         }
     }
@@ -291,9 +300,9 @@
         if answer.status == 401 {
             extra.push(("WWW-Authenticate", "Bearer"));
         }
-        let again = answer.retry_after.map(|seconds| seconds.to_string()).unwrap_or_default();
-        if !again.is_empty() {
-            extra.push(("Retry-After", &again));
+        let retry_after = answer.retry_after.map(|seconds| seconds.to_string()).unwrap_or_default();
+        if !retry_after.is_empty() {
+            extra.push(("Retry-After", &retry_after));
         }
         if !answer.kind.is_empty() {
             extra.push(("Content-Type", answer.kind));
@@ -317,7 +326,7 @@
         let path = request.target.split('?').next().unwrap_or_default();
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         let tenants = &context.engine.directory().tenants;
-        // A token of a tenant that is gone sees nothing.
+        // The token of a removed tenant sees nothing.
         let scope = who.tenant.as_ref().map(|name| tenants.active_index(name).unwrap_or(usize::MAX));
         let sees = |tenant: usize| scope.is_none_or(|own| own == tenant);
         let named = |name: &str| tenants.active_index(name).filter(|&t| sees(t));
@@ -359,23 +368,23 @@
     }
 
     fn tenant(&self, tenant: usize, context: ApiContext) -> String {
-        let (told, paused) = context.engine.tenant(tenant);
-        let open = told.open;
+        let (counters, paused) = context.engine.tenant(tenant);
+        let open = counters.open;
         let name = escape(context.engine.directory().tenants.name(tenant));
         let shares = context.engine.shares(tenant).map(|(name, used, bounds)| {
-            let (own, most) = (bounds.guarantee, bounds.ceiling);
-            format!("\"{name}\":{{\"used\":{used},\"guarantee\":{own},\"ceiling\":{most}}}")
+            let (guarantee, ceiling) = (bounds.guarantee, bounds.ceiling);
+            format!("\"{name}\":{{\"used\":{used},\"guarantee\":{guarantee},\"ceiling\":{ceiling}}}")
         });
         let shares = shares.join(",");
         format!(
             "{{\"name\":\"{name}\",\"paused\":{paused},\"open\":{open},{},\"shares\":{{{shares}}}}}",
-            counts(&told)
+            counts(&counters)
         )
     }
 
     fn flows(&self, context: ApiContext, sees: impl Fn(usize) -> bool) -> Vec<String> {
         let names = context.engine.directory();
-        let seen = context.engine.flows().filter(|flow| sees(flow.tenant)).take(MOST_FLOWS);
+        let seen = context.engine.flows().filter(|flow| sees(flow.tenant)).take(MAX_LISTED_MESSAGES);
         let line = seen.map(|flow| {
             let state = match flow.end {
                 Some(End::Delivered) => "delivered",
@@ -399,8 +408,8 @@
     }
 }
 
-/// A token's requests come too fast.
-fn too_many(wait: Micros) -> Answer {
+/// Answers a request above the rate limit of its token.
+fn rate_limited(wait: Micros) -> Answer {
     let seconds = wait.0.div_ceil(1_000_000).max(1);
     let problem =
         Problem::new("", "requests with this token come too fast", format!("come again in {seconds} s"));
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -299,8 +299,8 @@
             if let Err(refusal) = confirmed.and_then(|versions| self.keep(versions)) {
                 log!("configuration cannot be confirmed: {}", refusal.problems);
             }
-        } else if let Some(QueuedChange { connection, who, ask }) = self.asks.pop_front() {
-            let told = self.carry_out_ask(ask, who, now);
+        } else if let Some(QueuedChange { connection, who, request }) = self.asks.pop_front() {
+            let told = self.carry_out_ask(request, who, now);
             let number = self.change_service.versions().number();
             let answer = match told {
                 Ok(answer) => Answer { etag: Some(number), ..answer },
@@ -315,12 +315,12 @@
         }
     }
 
-    fn carry_out_ask(&mut self, ask: ChangeRequest, who: String, now: Micros) -> Result<Answer, Refusal> {
+    fn carry_out_ask(&mut self, request: ChangeRequest, who: String, now: Micros) -> Result<Answer, Refusal> {
         if self.life.leaves() {
             return Err(Refusal::new(503, "the process is stopping", "ask the one that follows"));
         }
         let told = |node: &Node| Answer::json(200, &version_status(&node.change_service, now));
-        match ask {
+        match request {
             ChangeRequest::Stage(document) => {
                 let versions = self.change_service.stage(document, who, now, &DiskFiles)?;
                 pass("stage");
