--- a/src/net/amqp.rs
+++ b/src/net/amqp.rs
@@ -1,19 +1,19 @@
-//! AMQP 0-9-1 on the wire: frames, arguments and content properties, for both sides of a connection.
+//! Wire format of AMQP 0-9-1: frames, method arguments and content properties, for both sides of a connection.
 
 use std::rc::Rc;
 
-/// What a client sends first.
+/// Protocol header that a client sends first.
 pub const PROTOCOL: &[u8; 8] = b"AMQP\x00\x00\x09\x01";
-/// Largest frame that either side may send here.
+/// Largest frame that this implementation sends or accepts.
 pub const FRAME_MAX: u32 = 131_072;
-/// Bytes of a frame round its payload.
+/// Bytes of a frame besides its payload: type, channel, size and end marker.
 const FRAME_OVERHEAD: usize = 8;
 const FRAME_END: u8 = 0xCE;
 
-/// Class and method.
+/// Class id and method id.
 pub type Method = (u16, u16);
 
-/// The methods that are spoken here.
+/// The supported methods.
 #[allow(missing_docs)]
 pub mod method {
     use super::Method;
@@ -54,38 +54,38 @@
     pub const CONFIRM_SELECT_OK: Method = (85, 11);
 }
 
-/// A standard reply code and a text: what a close says.
+/// A protocol error: a standard reply code and a text, sent in a close method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault(pub u16, pub String);
 
-/// Makes a fault.
+/// Returns a [`Fault`] as an error.
 pub fn fault<T>(code: u16, text: &str) -> Result<T, Fault> {
     Err(Fault(code, text.to_owned()))
 }
 
-/// What a frame holds.
+/// Content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// A method with its arguments.
     Method(Method, Vec<u8>),
-    /// The head of a content: its size and properties.
+    /// A content header: the body size and the properties.
     Header(u64, Properties),
-    /// A part of a content.
+    /// A part of a content body.
     Body(Vec<u8>),
-    /// A sign of life.
+    /// A heartbeat.
     Heartbeat,
 }
 
 /// A frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// Its channel; 0 is the connection's own.
+    /// Its channel; 0 is the connection itself.
     pub channel: u16,
-    /// What it holds.
+    /// Its content.
     pub content: Content,
 }
 
-/// Reads a frame from the front of `input`, and tells how many bytes it took.
+/// Reads a frame from the start of `input`. Returns it with the number of bytes consumed, or none if it is incomplete.
 pub fn read_frame(input: &[u8], frame_max: u32) -> Result<Option<(Frame, usize)>, Fault> {
     let mut head = Args(input);
     let (Ok(kind), Ok(channel), Ok(size)) = (head.octet(), head.short(), head.long()) else {
@@ -105,7 +105,7 @@
     let content = match kind {
         1 => Content::Method((args.short()?, args.short()?), args.0.to_vec()),
         2 => {
-            args.long()?; // class and weight
+            args.long()?; // class id and weight
             Content::Header(args.long_long()?, Properties::read(&mut args)?)
         }
         3 => Content::Body(payload.to_vec()),
@@ -124,7 +124,7 @@
     out.push(FRAME_END);
 }
 
-/// Writes a method; `args` are built with [`Args`]' counterparts on `Vec<u8>`, see [`PutArgument`].
+/// Writes a method frame; `args` are encoded with [`PutArgument`].
 pub fn write_method(out: &mut Vec<u8>, channel: u16, method: Method, args: &[u8]) {
     let mut payload = Vec::with_capacity(args.len() + 4);
     payload.put_short(method.0);
@@ -133,7 +133,7 @@
     write_frame(out, 1, channel, &payload);
 }
 
-/// Writes a content: header and body frames.
+/// Writes a content as a header frame and body frames.
 pub fn write_content(out: &mut Vec<u8>, channel: u16, properties: &Properties, body: &[u8], frame_max: u32) {
     let mut payload = Vec::new();
     payload.put_short(60);
@@ -146,12 +146,12 @@
     }
 }
 
-/// Writes a sign of life.
+/// Writes a heartbeat frame.
 pub fn write_heartbeat(out: &mut Vec<u8>) {
     write_frame(out, 8, 0, &[]);
 }
 
-/// Writes the close of a connection (channel 0) or of a channel.
+/// Writes the close method of the connection (channel 0) or of a channel.
 pub fn write_close(out: &mut Vec<u8>, channel: u16, Fault(code, text): &Fault, cause: Method) {
     let mut args = Vec::new();
     args.put_short(*code);
@@ -162,19 +162,19 @@
     write_method(out, channel, method, &args);
 }
 
-/// Appends arguments.
+/// Encodes method arguments.
 pub trait PutArgument {
-    /// Two bytes.
+    /// Appends a 16-bit number.
     fn put_short(&mut self, value: u16);
-    /// Four bytes.
+    /// Appends a 32-bit number.
     fn put_long(&mut self, value: u32);
-    /// Eight bytes.
+    /// Appends a 64-bit number.
     fn put_long_long(&mut self, value: u64);
-    /// A short string.
+    /// Appends a short string, cut to 255 bytes.
     fn put_short_string(&mut self, text: &[u8]);
-    /// A long string.
+    /// Appends a long string.
     fn put_long_string(&mut self, text: &[u8]);
-    /// A table of text values.
+    /// Appends a field table.
     fn put_table(&mut self, fields: &[(String, Value)]);
 }
 
@@ -227,31 +227,31 @@
     }
 }
 
-/// A value in a table, as far as it is of use here.
+/// A value in a field table; types that are not needed are read as [`Value::Other`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A long string.
     Text(Vec<u8>),
-    /// Any whole number.
+    /// An integer of any width.
     Number(i64),
     /// A boolean.
     Flag(bool),
-    /// A table.
+    /// A nested table.
     Table(Vec<(String, Value)>),
-    /// Anything else.
+    /// A value of any other type.
     Other,
 }
 
-/// Arguments that are being read. What is cut short is a syntax error.
+/// Decodes method arguments. Truncated input is a syntax error.
 pub struct Args<'a>(pub &'a [u8]);
 
 impl<'a> Args<'a> {
     fn take(&mut self, length: usize) -> Result<&'a [u8], Fault> {
-        let Some((taken, rest)) = self.0.split_at_checked(length) else {
+        let Some((bytes, rest)) = self.0.split_at_checked(length) else {
             return fault(502, "arguments cut short");
         };
         self.0 = rest;
-        Ok(taken)
+        Ok(bytes)
     }
 
     fn number<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
@@ -260,51 +260,51 @@
         Ok(bytes)
     }
 
-    /// One byte.
+    /// Reads an 8-bit number.
     pub fn octet(&mut self) -> Result<u8, Fault> {
         Ok(self.number::<1>()?[0])
     }
 
-    /// Two bytes.
+    /// Reads a 16-bit number.
     pub fn short(&mut self) -> Result<u16, Fault> {
         self.number().map(u16::from_be_bytes)
     }
 
-    /// Four bytes.
+    /// Reads a 32-bit number.
     pub fn long(&mut self) -> Result<u32, Fault> {
         self.number().map(u32::from_be_bytes)
     }
 
-    /// Eight bytes.
+    /// Reads a 64-bit number.
     pub fn long_long(&mut self) -> Result<u64, Fault> {
         self.number().map(u64::from_be_bytes)
     }
 
-    /// A short string.
+    /// Reads a short string.
     pub fn short_string(&mut self) -> Result<&'a [u8], Fault> {
         let length = self.octet()?;
         self.take(length.into())
     }
 
-    /// The same, which must be UTF-8.
+    /// Reads a short string that must be UTF-8.
     pub fn short_string_utf8(&mut self) -> Result<String, Fault> {
         let name = self.short_string()?.to_vec();
         String::from_utf8(name).or_else(|_| fault(502, "a name is not UTF-8"))
     }
 
-    /// A long string.
+    /// Reads a long string.
     pub fn long_string(&mut self) -> Result<&'a [u8], Fault> {
         let length = self.long()?;
         self.take(length as usize)
     }
 
-    /// A table.
+    /// Reads a field table.
     pub fn table(&mut self) -> Result<Vec<(String, Value)>, Fault> {
         self.nested_table(0)
     }
 
     fn nested_table(&mut self, depth: usize) -> Result<Vec<(String, Value)>, Fault> {
-        // A frame's worth of nesting would otherwise take as much stack.
+        // Without a limit, a frame full of nested tables would exhaust the stack.
         if depth > 8 {
             return fault(502, "table nested too deep");
         }
@@ -339,10 +339,10 @@
     }
 }
 
-/// Properties of a content, as far as they are of use here.
+/// Content properties; those that are not needed are skipped.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Properties {
-    /// Header table.
+    /// `headers`.
     pub headers: Vec<(String, Value)>,
     /// `delivery-mode`; 2 is persistent.
     pub delivery_mode: Option<u8>,
@@ -373,17 +373,17 @@
             return fault(502, "more property flags than there are properties");
         }
         let mut properties = Properties::default();
-        for bit in (1..16).rev().map(|place| 1u16 << place).filter(|bit| flags & bit != 0) {
+        for bit in (1..16).rev().map(|position| 1u16 << position).filter(|bit| flags & bit != 0) {
             match bit {
                 HEADERS => properties.headers = args.table()?,
                 DELIVERY_MODE => properties.delivery_mode = Some(args.octet()?),
-                // Priority and timestamp are the others that are no short string.
+                // Priority and timestamp are the remaining properties that are not short strings.
                 0x0800 => drop(args.octet()?),
                 0x0040 => drop(args.long_long()?),
                 _ => {
                     let name = args.short_string()?;
-                    if let Some(kept) = properties.name(bit) {
-                        *kept = Some(name.into());
+                    if let Some(property) = properties.string_property(bit) {
+                        *property = Some(name.into());
                     }
                 }
             }
@@ -391,7 +391,7 @@
         Ok(properties)
     }
 
-    fn name(&mut self, bit: u16) -> Option<&mut Option<Rc<[u8]>>> {
+    fn string_property(&mut self, bit: u16) -> Option<&mut Option<Rc<[u8]>>> {
         Some(match bit {
             CORRELATION_ID => &mut self.correlation_id,
             REPLY_TO => &mut self.reply_to,
@@ -423,7 +423,7 @@
         }
     }
 
-    /// A header as text; numbers are written out.
+    /// A header as text; numbers are converted to decimal.
     pub fn header(&self, name: &str) -> Option<Vec<u8>> {
         match &self.headers.iter().find(|(known, _)| known == name)?.1 {
             Value::Text(text) => Some(text.clone()),
@@ -433,18 +433,18 @@
     }
 }
 
-/// The two times that a connection keeps: when it last last_received, and when it last last_sent something.
+/// Heartbeat interval of a connection, with the times of the last input and output.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatTimer {
     interval: crate::Micros,
-    /// Last last_received.
+    /// Time of the last input.
     pub last_received: crate::Micros,
-    /// Last last_sent.
+    /// Time of the last output.
     pub last_sent: crate::Micros,
 }
 
 impl HeartbeatTimer {
-    /// From now on, with the interval agreed; 0 means none.
+    /// Starts with the negotiated interval in seconds; 0 turns heartbeats off.
     pub fn new(seconds: u16, now: crate::Micros) -> HeartbeatTimer {
         HeartbeatTimer {
             interval: crate::Micros(u64::from(seconds) * 1_000_000),
@@ -453,21 +453,22 @@
         }
     }
 
-    /// The other side has been silent for two intervals.
+    /// Whether the peer has been silent for two intervals.
     pub fn has_expired(&self, now: crate::Micros) -> bool {
         self.interval.0 > 0 && now.minus(self.last_received).0 >= 2 * self.interval.0
     }
 
-    /// A heartbeat is to be sent.
+    /// Whether a heartbeat is due: nothing has been sent for half an interval.
     pub fn is_send_due(&self, now: crate::Micros) -> bool {
         self.interval.0 > 0 && now.minus(self.last_sent).0 >= self.interval.0 / 2
     }
 
-    /// When either may be.
+    /// Time of the next heartbeat or expiry, whichever is earlier.
     pub fn next_due(&self) -> Option<crate::Micros> {
-        let half = crate::Micros(self.interval.0 / 2);
-        let dead = crate::Micros(2 * self.interval.0);
-        (self.interval.0 > 0).then(|| self.last_sent.plus(half).min(self.last_received.plus(dead)))
+        let send_interval = crate::Micros(self.interval.0 / 2);
+        let timeout = crate::Micros(2 * self.interval.0);
+        (self.interval.0 > 0)
+            .then(|| self.last_sent.plus(send_interval).min(self.last_received.plus(timeout)))
     }
 }
 
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -1,5 +1,6 @@
-//! Where operators' staff call: readiness, figures, drains. One call to a connection, answered in the turn in which it
-//! is whole. It shares nothing with the other fronts: few connections, short calls, and a descriptor in reserve.
+//! HTTP interface for operators: readiness, statistics, drains, maintenance. Each connection carries one request, which is
+//! answered in the loop iteration in which it is complete. It shares nothing with the client fronts: it has few
+//! connections, short requests and a reserved file descriptor.
 
 use super::http::{self, Parsed, Request};
 use super::maintenance::Asked;
@@ -12,127 +13,129 @@
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections at most.
-const MOST: usize = 32;
-/// Longest body: calls need none...
-const LONGEST_BODY: usize = 1024;
-/// ...but for a round of maintenance, which names its forwarders.
-const LONGEST_ROUND: usize = 16_384;
-/// Longest head.
-const LONGEST_HEAD: usize = 4096;
-/// A call is whole within so long, and its answer read within so long.
-const PATIENCE: Micros = Micros(2_000_000);
-/// What comes behind a call is read and dropped for so long, as its answer would be lost with a reset.
-const LINGER: Micros = Micros(500_000);
-/// An address that could not be listened on is tried again after so long.
-const TRY_AGAIN: Micros = Micros(1_000_000);
+/// Limit on open connections.
+const MAX_CONNECTIONS: usize = 32;
+/// Longest request body: most requests need none.
+const MAX_BODY_BYTES: usize = 1024;
+/// Longest body of a maintenance plan, which names its forwarders.
+const MAX_PLAN_BYTES: usize = 16_384;
+/// Longest request head.
+const MAX_HEAD_BYTES: usize = 4096;
+/// Time within which a request is received in full, and within which its answer is read.
+const REQUEST_TIMEOUT: Micros = Micros(2_000_000);
+/// Time for which input after a request is read and discarded: closing over unread input sends a reset, which would
+/// discard the answer.
+const LINGER_TIMEOUT: Micros = Micros(500_000);
+/// Time between attempts to listen on the address.
+const LISTEN_RETRY_INTERVAL: Micros = Micros(1_000_000);
 
 struct Connection {
     stream: Stream,
-    since: Micros,
-    /// Since then its answer is under way; whatever still comes is dropped.
-    answered: Option<Micros>,
-    /// Its call is whole, and the answer comes with a later turn.
+    opened_at: Micros,
+    /// Time at which the answer was queued; further input is discarded.
+    answered_at: Option<Micros>,
+    /// The request is complete and is answered in a later loop iteration.
     pending: bool,
 }
 
-/// What a call asks for.
+/// Command of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process can serve.
+    /// Report whether this process can serve.
     Readiness,
-    /// The figures.
+    /// Report statistics.
     Statistics,
-    /// The members of the fleet.
+    /// List the members of the fleet.
     Members,
-    /// Clients are to be sent away.
+    /// Start a drain: clients are disconnected.
     StartDrain,
-    /// Back to work.
+    /// End the drain.
     StopDrain,
     /// MaintenancePlans of maintenance, and who is out.
     MaintenancePlans,
-    /// A round, or the end of one: answered in a later turn.
+    /// Request or cancel a maintenance plan; answered in a later loop iteration.
     ChangeMaintenance(Asked),
 }
 
-/// What is answered.
+/// Answer to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     status: u16,
-    /// The method that would be right.
+    /// The supported method, for a 405.
     allow: Option<&'static str>,
     body: String,
 }
 
 impl Answer {
-    /// Of a status, with a word on why.
+    /// An answer with a status and a reason.
     fn plain(status: u16, why: &str) -> Answer {
         Answer { status, allow: None, body: format!("{}\n", json!({ "status": why })) }
     }
 
-    /// Yes or no.
+    /// Whether this process can serve: 200 or 503, with the lifecycle stage.
     pub fn readiness(life: &Lifecycle) -> Answer {
         let word = if life.can_serve() { life.stage().word() } else { "no list of endpoints yet" };
         Answer::plain(if life.can_serve() && !life.leaves() { 200 } else { 503 }, word)
     }
 
-    /// The figures.
-    pub fn statistics(figures: &serde_json::Value) -> Answer {
-        Answer { status: 200, allow: None, body: format!("{figures}\n") }
+    /// The statistics.
+    pub fn statistics(statistics: &serde_json::Value) -> Answer {
+        Answer { status: 200, allow: None, body: format!("{statistics}\n") }
     }
 
-    /// The members of the fleet, or its maintenance, where there is any.
+    /// A JSON value, or 404 where this process has none: fleets and maintenance are optional.
     pub fn json_or_not_found(value: Option<serde_json::Value>) -> Answer {
         value.map_or_else(Answer::not_found, |value| Answer::statistics(&value))
     }
 
-    /// There is nothing of the kind here.
+    /// 404: the path does not exist here.
     pub fn not_found() -> Answer {
         Answer::plain(404, "no such path")
     }
 
-    /// Anything, in JSON.
+    /// A JSON value with a status.
     pub fn json(status: u16, body: &serde_json::Value) -> Answer {
         Answer { status, allow: None, body: format!("{body}\n") }
     }
 
-    /// Done, or done before.
+    /// 200 with the lifecycle stage: the command has been carried out, now or before.
     pub fn current_stage(stage: Stage) -> Answer {
         Answer::plain(200, stage.word())
     }
 
-    /// Another process holds the folder, and this one waits for it.
+    /// 503: another process holds the state folder, and this one waits for it.
     pub fn waiting_for_predecessor() -> Answer {
         Answer::plain(503, "waiting for the process before")
     }
 
-    /// It cannot be done in this stage.
+    /// 409: the command cannot be carried out in this lifecycle stage.
     pub fn conflict(stage: Stage) -> Answer {
         Answer::plain(409, stage.word())
     }
 }
 
-/// See the module's text.
+/// The operators' interface.
 pub struct Ops {
     address: SocketAddr,
     listener: Option<TcpListener>,
-    try_at: Micros,
+    next_listen_at: Micros,
     connections: BTreeMap<u64, Connection>,
-    /// Let go of to take a call on where the table of descriptors is full.
+    /// Descriptor that is released to accept a connection when the descriptor table is full.
     reserve: Option<File>,
-    failures: u64,
+    listener_failures: u64,
 }
 
 impl Ops {
-    /// Listens at an address; where it cannot, it goes on trying, and the process serves its clients all the same.
+    /// Listens on an address. If that fails, it is retried, and the process serves its clients meanwhile.
     pub fn new(poll: &mut Poll, address: SocketAddr, now: Micros) -> Ops {
         let (connections, reserve) = (BTreeMap::new(), File::open("/dev/null").ok());
-        let mut ops = Ops { address, listener: None, try_at: now, connections, reserve, failures: 0 };
+        let mut ops =
+            Ops { address, listener: None, next_listen_at: now, connections, reserve, listener_failures: 0 };
         ops.listen(poll, now);
         ops
     }
 
-    /// Goes on with another poll.
+    /// Registers the listener and the connections with another poll.
     pub fn move_to(&mut self, poll: &mut Poll) -> std::io::Result<()> {
         if let Some(listener) = &self.listener {
             poll.listen(listener, Peer::OpsListener)?;
@@ -147,37 +150,39 @@
             Ok(listener) => self.listener = Some(listener),
             Err(problem) => {
                 let at = self.address;
-                log!("operators' calls: cannot listen on {at}: {problem}; trying again each second: free it, or name another");
-                self.try_at = now.plus(TRY_AGAIN);
+                log!("operators' calls: cannot listen on {at}: {problem}; retrying every second; free the address or configure another");
+                self.next_listen_at = now.plus(LISTEN_RETRY_INTERVAL);
             }
         }
     }
 
-    /// New connections are there. Where all places are taken, the oldest without a whole call gives way.
+    /// Accepts pending connections. At the limit, one connection is closed: an answered one if there is any, else the
+    /// oldest.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         loop {
             let Some(listener) = &self.listener else { return };
-            let before = self.failures;
-            let mut next = stream::next(listener, "operators' calls", &mut self.failures);
-            if next.is_none() && self.failures > before && self.reserve.take().is_some() {
-                next = stream::next(listener, "operators' calls", &mut self.failures);
+            let before = self.listener_failures;
+            let mut next = stream::next(listener, "operators' calls", &mut self.listener_failures);
+            if next.is_none() && self.listener_failures > before && self.reserve.take().is_some() {
+                next = stream::next(listener, "operators' calls", &mut self.listener_failures);
             }
             let Some(socket) = next else { break };
-            if self.connections.len() >= MOST {
+            if self.connections.len() >= MAX_CONNECTIONS {
                 let oldest =
-                    self.connections.iter().min_by_key(|(_, one)| (one.answered.is_none(), one.since));
+                    self.connections.iter().min_by_key(|(_, one)| (one.answered_at.is_none(), one.opened_at));
                 let oldest = oldest.map(|(&token, _)| token);
                 oldest.map(|token| self.connections.remove(&token));
             }
             let token = poll.token(Peer::Ops);
             if let Ok(stream) = Stream::accepted(poll, token, socket) {
                 self.connections
-                    .insert(token, Connection { stream, since: now, answered: None, pending: false });
+                    .insert(token, Connection { stream, opened_at: now, answered_at: None, pending: false });
             }
         }
     }
 
-    /// A connection is ready. Tells what it asks, once that is whole; [`Ops::answer`] is to follow at once.
+    /// Handles readiness of a connection. Returns the command once the request is complete; the caller then answers it
+    /// with [`Ops::answer`].
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<Command> {
         let one = self.connections.get_mut(&token)?;
         if one.stream.ready(poll).is_err() {
@@ -187,25 +192,25 @@
         if one.pending {
             return None;
         }
-        if one.answered.is_some() {
+        if one.answered_at.is_some() {
             one.stream.input.clear();
             if one.stream.ended && one.stream.flushed() {
                 self.remove(token);
             }
             return None;
         }
-        let round = one.stream.input.starts_with(b"PUT /ops/maintenance ");
-        let longest = if round { LONGEST_ROUND } else { LONGEST_BODY };
-        let refused = match http::call(&one.stream.input, longest) {
-            Parsed::Whole(request, _) => match asked(&request) {
-                Ok(call) => {
-                    one.pending = matches!(call, Command::ChangeMaintenance(_));
-                    return Some(call);
+        let is_plan = one.stream.input.starts_with(b"PUT /ops/maintenance ");
+        let max_body = if is_plan { MAX_PLAN_BYTES } else { MAX_BODY_BYTES };
+        let error = match http::call(&one.stream.input, max_body) {
+            Parsed::Whole(request, _) => match parse_command(&request) {
+                Ok(command) => {
+                    one.pending = matches!(command, Command::ChangeMaintenance(_));
+                    return Some(command);
                 }
-                Err(refused) => refused,
+                Err(error) => error,
             },
             Parsed::Bad(status) => Answer::plain(status, "the call cannot be read"),
-            Parsed::Partial { .. } if one.stream.input.len() > LONGEST_HEAD + longest => {
+            Parsed::Partial { .. } if one.stream.input.len() > MAX_HEAD_BYTES + max_body => {
                 Answer::plain(431, "the call is too long")
             }
             Parsed::Partial { .. } => {
@@ -215,17 +220,17 @@
                 return None;
             }
         };
-        self.answer(poll, token, now, &refused);
+        self.answer(poll, token, now, &error);
         None
     }
 
-    /// Answers a call, and ends its connection when that is written.
+    /// Answers a request; its connection closes once the answer is written.
     pub fn answer(&mut self, poll: &Poll, token: u64, now: Micros, answer: &Answer) {
         let Some(one) = self.connections.get_mut(&token) else { return };
         let mut headers = vec![("Content-Type", "application/json"), ("Cache-Control", "no-store")];
         headers.extend(answer.allow.map(|method| ("Allow", method)));
         let bytes = http::write_answer(answer.status, &headers, answer.body.as_bytes(), true);
-        (one.answered, one.pending) = (Some(now), false);
+        (one.answered_at, one.pending) = (Some(now), false);
         one.stream.input.clear();
         if one.stream.send(poll, &bytes).is_err() || one.stream.ended && one.stream.flushed() {
             self.remove(token);
@@ -239,14 +244,14 @@
         }
     }
 
-    /// Ends connections whose callers are slower than they may be. Cost: the connections held, 32 at most.
+    /// Retries a failed listen and closes connections whose time is up. Visits all connections, 32 at most.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
-        if self.listener.is_none() && self.try_at <= now {
+        if self.listener.is_none() && self.next_listen_at <= now {
             self.listen(poll, now);
         }
-        let late = self.connections.iter().filter(|(_, one)| one.ends_at() <= now);
-        for token in late.map(|(&token, _)| token).collect::<Vec<_>>() {
-            if self.connections.get(&token).is_some_and(|one| one.answered.is_none()) {
+        let expired = self.connections.iter().filter(|(_, one)| one.deadline() <= now);
+        for token in expired.map(|(&token, _)| token).collect::<Vec<_>>() {
+            if self.connections.get(&token).is_some_and(|one| one.answered_at.is_none()) {
                 self.answer(poll, token, now, &Answer::plain(408, "no whole call within 2 s"));
             } else {
                 self.remove(token);
@@ -256,25 +261,25 @@
 
     /// When [`Ops::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        let again = self.listener.is_none().then_some(self.try_at);
-        self.connections.values().map(Connection::ends_at).chain(again).min()
+        let listen_retry = self.listener.is_none().then_some(self.next_listen_at);
+        self.connections.values().map(Connection::deadline).chain(listen_retry).min()
     }
 }
 
 impl Connection {
-    fn ends_at(&self) -> Micros {
-        match self.answered {
-            None => self.since.plus(PATIENCE),
-            Some(since) if self.stream.flushed() => since.plus(LINGER),
-            Some(since) => since.plus(PATIENCE),
+    fn deadline(&self) -> Micros {
+        match self.answered_at {
+            None => self.opened_at.plus(REQUEST_TIMEOUT),
+            Some(answered_at) if self.stream.flushed() => answered_at.plus(LINGER_TIMEOUT),
+            Some(answered_at) => answered_at.plus(REQUEST_TIMEOUT),
         }
     }
 }
 
-/// What a request asks for, or how it is refused.
-fn asked(request: &Request) -> Result<Command, Answer> {
+/// Parses the command of a request, or returns the answer that rejects it.
+fn parse_command(request: &Request) -> Result<Command, Answer> {
     let path = request.target.split('?').next().unwrap_or_default();
-    let (method, call) = match path {
+    let (method, command) = match path {
         "/ops/readiness" => ("GET", Command::Readiness),
         "/ops/stats" => ("GET", Command::Statistics),
         "/ops/members" => ("GET", Command::Members),
@@ -293,5 +298,5 @@
     if request.method != method {
         return Err(Answer { allow: Some(method), ..Answer::plain(405, "another method") });
     }
-    Ok(call)
+    Ok(command)
 }
