--- a/src/net/admin/changes.rs
+++ b/src/net/admin/changes.rs
@@ -1,5 +1,5 @@
-//! Requests about the configuration. Reads are answered immediately; changes wait in a queue, from which the event loop
-//! carries out one between two loop iterations.
+//! Requests about the configuration. Reads are answered immediately; changes wait in a queue, from which the
+//! event loop carries out one between two loop iterations.
 
 use super::{Answer, PROBLEM_JSON};
 use crate::config::desk::{ChangeService, Refusal, Trial, MAX_WINDOW_MS};
@@ -201,8 +201,8 @@
     }
 }
 
-/// Parses the trial of a change: `confirm_within_s` requires a confirmation, `probation_s` only that service stays within
-/// its bounds. Bounds apply to either.
+/// Parses the trial of a change: `confirm_within_s` requires a confirmation, `probation_s` only that service
+/// stays within its bounds. Bounds apply to either.
 fn trial(query: &BTreeMap<String, String>) -> Result<Option<Trial>, Handling> {
     let number = |key: &str, max: f64| match query.get(key).map(|text| text.parse::<f64>()) {
         None => Ok(None),
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,5 +1,6 @@
-//! The administration API: HTTP and JSON on a listener of its own, with bearer tokens. A tenant's token sees that
-//! tenant only; other tenants look non-existent to it. Requests about the configuration are handled in `changes`.
+//! The administration API: HTTP and JSON on a listener of its own, with bearer tokens. A tenant's token sees
+//! that tenant only; other tenants look non-existent to it. Requests about the configuration are handled in
+//! `changes`.
 
 pub mod changes;
 
@@ -141,8 +142,8 @@
         self.retired && self.connections.is_empty()
     }
 
-    /// Applies new tokens. Connections whose token was removed are closed after their pending answer. Visits all
-    /// connections.
+    /// Applies new tokens. Connections whose token was removed are closed after their pending answer. Visits
+    /// all connections.
     pub fn configure(&mut self, tokens: Vec<Token>) {
         self.tokens = tokens;
         // The use of the old rate limits is dropped: with a new list each token gets its full burst.
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Accepts pending connections. At the limit, the least recently used one without a pending change is closed.
+    /// Accepts pending connections. At the limit, the least recently used one without a pending change is
+    /// closed.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         while !self.retired {
             let Some(socket) = stream::next(&self.listener, "administration", &mut self.listener_failures)
@@ -190,8 +192,8 @@
         idle.map(|one| one.used_at.plus(IDLE_TIMEOUT)).min()
     }
 
-    /// Handles readiness of a connection. Requested changes are added to `changes`; while too many wait, they are
-    /// rejected.
+    /// Handles readiness of a connection. Requested changes are added to `changes`; while too many wait, they
+    /// are rejected.
     pub fn ready(
         &mut self,
         poll: &Poll,
--- a/src/net/amqp.rs
+++ b/src/net/amqp.rs
@@ -1,4 +1,5 @@
-//! Wire format of AMQP 0-9-1: frames, method arguments and content properties, for both sides of a connection.
+//! Wire format of AMQP 0-9-1: frames, method arguments and content properties, for both sides of a
+//! connection.
 
 use std::rc::Rc;
 
@@ -85,7 +86,8 @@
     pub content: Content,
 }
 
-/// Reads a frame from the start of `input`. Returns it with the number of bytes consumed, or none if it is incomplete.
+/// Reads a frame from the start of `input`. Returns it with the number of bytes consumed, or none if it is
+/// incomplete.
 pub fn read_frame(input: &[u8], frame_max: u32) -> Result<Option<(Frame, usize)>, Fault> {
     let mut head = Args(input);
     let (Ok(kind), Ok(channel), Ok(size)) = (head.octet(), head.short(), head.long()) else {
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -1,8 +1,9 @@
 //! The AMQP front: a server for publishers and for the consumers of their answers.
 //!
-//! A publish submits a message; `basic.ack` confirms that it was accepted, `basic.nack` that it was rejected. The final
-//! outcome goes as an answer to the queue named by `reply-to`, and stays in the journal until a consumer has acknowledged
-//! it. A queue belongs to a tenant and outlives connections, unless it was declared exclusive.
+//! A publish submits a message; `basic.ack` confirms that it was accepted, `basic.nack` that it was rejected.
+//! The final outcome goes as an answer to the queue named by `reply-to`, and stays in the journal until a
+//! consumer has acknowledged it. A queue belongs to a tenant and outlives connections, unless it was declared
+//! exclusive.
 
 mod methods;
 mod publishing;
@@ -30,7 +31,8 @@
 const MAX_CHANNELS: u16 = 64;
 /// Limit on the connections of this front.
 const MAX_CONNECTIONS: usize = 64;
-/// Limit on the answers in one queue, including unacknowledged ones. Publishes that name a full queue are rejected.
+/// Limit on the answers in one queue, including unacknowledged ones. Publishes that name a full queue are
+/// rejected.
 const MAX_QUEUED_ANSWERS: usize = 1000;
 /// Limit on the queues of one tenant.
 const MAX_QUEUES: usize = 256;
@@ -41,7 +43,8 @@
 /// An answer that waits for an acknowledgement.
 #[derive(Clone, Debug)]
 struct Answer {
-    /// The message whose outcome is to be delivered; none when the answer repeats a known outcome to a resubmission.
+    /// The message whose outcome is to be delivered; none when the answer repeats a known outcome to a
+    /// resubmission.
     message: Option<MessageId>,
     id: Rc<[u8]>,
     correlation: Rc<[u8]>,
@@ -126,15 +129,16 @@
     queues: BTreeMap<QueueName, Queue>,
     pending: BTreeMap<Token, PendingSubmission>,
     next_token: Token,
-    /// Number of the next generated queue or consumer name. It starts from the clock, so that names differ across restarts.
+    /// Number of the next generated queue or consumer name. It starts from the clock, so that names differ
+    /// across restarts.
     next_name: u64,
     /// Number of pending connections that could not be accepted.
     pub listener_failures: u64,
 }
 
 impl AmqpFront {
-    /// Switches to a listener on another address, which is already registered with the poll. Open connections stay: they
-    /// are long-lived, and their pending answers are not lost by waiting.
+    /// Switches to a listener on another address, which is already registered with the poll. Open connections
+    /// stay: they are long-lived, and their pending answers are not lost by waiting.
     pub fn move_to(&mut self, listener: TcpListener) {
         self.listener = listener;
     }
@@ -249,7 +253,8 @@
                 Err((problem, cause, 0)) => {
                     log!("amqp: closing a connection: {} {}", problem.0, problem.1);
                     amqp::write_close(&mut publisher.out, 0, &problem, cause);
-                    // After a frame error the input cannot be parsed further; otherwise the peer's close-ok is awaited.
+                    // After a frame error the input cannot be parsed further; otherwise the peer's close-ok
+                    // is awaited.
                     must_close = problem.0 == 501;
                     publisher.stage = Stage::Closing;
                 }
@@ -303,8 +308,8 @@
         queue.waiting.len()
     }
 
-    /// Handles one frame. Returns whether the connection stays open. An error contains the channel that it closes, or 0
-    /// for the whole connection.
+    /// Handles one frame. Returns whether the connection stays open. An error contains the channel that it
+    /// closes, or 0 for the whole connection.
     fn handle_frame(
         &mut self,
         token: u64,
@@ -364,8 +369,8 @@
         }
     }
 
-    /// Connections by tenant: the number in use and the share of each tenant with a login. Each login costs one pass over
-    /// the connections and the tenants.
+    /// Connections by tenant: the number in use and the share of each tenant with a login. Each login costs
+    /// one pass over the connections and the tenants.
     fn connection_shares(&self) -> Shares {
         let tenant_index = |login: &Login| self.directory.tenants.active_index(&login.tenant);
         let mut limits = vec![(0.0, ShareLimits::default()); self.directory.tenants.len()];
@@ -377,8 +382,8 @@
         shares
     }
 
-    /// Queues the final outcome of a message in its reply queue. Without a reply queue, or with an exclusive one that
-    /// has been deleted, the outcome counts as reported.
+    /// Queues the final outcome of a message in its reply queue. Without a reply queue, or with an exclusive
+    /// one that has been deleted, the outcome counts as reported.
     pub fn queue_outcome(
         &mut self,
         message: MessageId,
@@ -487,8 +492,8 @@
     queue.waiting.push_front(Answer { redelivered: true, ..answer });
 }
 
-/// Records that an answer was written to a consumer: with `no_ack` it counts as reported, otherwise it waits for an
-/// acknowledgement.
+/// Records that an answer was written to a consumer: with `no_ack` it counts as reported, otherwise it waits
+/// for an acknowledgement.
 fn track_delivery(
     channel: &mut Channel,
     queue: &mut Queue,
--- a/src/net/clients/amqp/methods.rs
+++ b/src/net/clients/amqp/methods.rs
@@ -14,8 +14,8 @@
         let Some(publisher) = self.publishers.get_mut(&token) else { return Ok(false) };
         match (publisher.stage, name) {
             (_, method::CLOSE) => {
-                // The peer closes the connection once it has read this. If this side closed it, the peer's library might
-                // see the end before the close-ok and report an aborted connection.
+                // The peer closes the connection once it has read this. If this side closed it, the peer's
+                // library might see the end before the close-ok and report an aborted connection.
                 amqp::write_method(&mut publisher.out, 0, method::CLOSE_OK, &[]);
                 (publisher.stage, publisher.started_at) = (Stage::Closing, now);
                 let numbers: Vec<u16> = publisher.channels.keys().copied().collect();
--- a/src/net/clients/amqp/publishing.rs
+++ b/src/net/clients/amqp/publishing.rs
@@ -80,7 +80,8 @@
         self.flush_all(poll, now, inputs);
     }
 
-    /// Whether the channel of a submission is still open: it may have been closed, and its number reused, meanwhile.
+    /// Whether the channel of a submission is still open: it may have been closed, and its number reused,
+    /// meanwhile.
     pub(super) fn is_channel_open(&self, submission: &PendingSubmission) -> bool {
         let channel =
             self.publishers.get(&submission.connection).and_then(|p| p.channels.get(&submission.channel));
--- a/src/net/clients/life.rs
+++ b/src/net/clients/life.rs
@@ -1,9 +1,10 @@
-//! State machine of a client connection, without its socket: open, reading, idle, answering, closing, lingering, gone.
+//! State machine of a client connection, without its socket: open, reading, idle, answering, closing,
+//! lingering, gone.
 //!
-//! Each connection closes in the same steps: queued output is written, the sending side is shut down, and further input is
-//! read and discarded until the client closes its side or a limit is reached. Closing a socket that has unread input sends
-//! a reset, and a reset discards output that the client has not read yet. Input that arrives after the decision to close
-//! is never accepted.
+//! Each connection closes in the same steps: queued output is written, the sending side is shut down, and
+//! further input is read and discarded until the client closes its side or a limit is reached. Closing a
+//! socket that has unread input sends a reset, and a reset discards output that the client has not read yet.
+//! Input that arrives after the decision to close is never accepted.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -11,11 +12,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Time after which a connection without a request in progress is closed: some clients send one request and keep the
-/// connection open for good.
+/// Time after which a connection without a request in progress is closed: some clients send one request and
+/// keep the connection open for good.
 pub const IDLE_TIMEOUT: Micros = Micros(5_000_000);
-/// Time from the first byte of a request to its last (for the first request, from the opening of the connection), and time
-/// within which the client reads an answer. Slower clients get a 408 or are disconnected.
+/// Time from the first byte of a request to its last (for the first request, from the opening of the
+/// connection), and time within which the client reads an answer. Slower clients get a 408 or are
+/// disconnected.
 pub const REQUEST_TIMEOUT: Micros = Micros(2_000_000);
 /// Time for which input is discarded after the last answer of a connection has been written.
 pub const LINGER_TIMEOUT: Micros = Micros(1_000_000);
@@ -48,7 +50,8 @@
         /// Whether the connection closes after this answer.
         last: bool,
     },
-    /// The last answer, if any, is queued; the sending side is shut down once it is written. Input is discarded.
+    /// The last answer, if any, is queued; the sending side is shut down once it is written. Input is
+    /// discarded.
     Closing {
         /// Time of the decision to close.
         since: Micros,
@@ -113,7 +116,8 @@
         self.is_closing()
     }
 
-    /// Starts closing: no further request is accepted. A request that the core is processing is answered first.
+    /// Starts closing: no further request is accepted. A request that the core is processing is answered
+    /// first.
     pub fn close(&mut self, now: Micros) {
         match *self {
             ConnectionState::Answering { .. } => *self = ConnectionState::Answering { last: true },
@@ -199,8 +203,8 @@
         }
         match *self {
             ConnectionState::Answering { .. } => DeadlineAction::Wait,
-            // A client that has sent nothing gets no 408: it would take it as the answer to a request that it is
-            // sending at this moment.
+            // A client that has sent nothing gets no 408: it would take it as the answer to a request that it
+            // is sending at this moment.
             ConnectionState::Reading { .. } if flushed => {
                 *self = ConnectionState::closing(now);
                 DeadlineAction::SendTimeout
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -16,13 +16,13 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::rc::Rc;
 
-/// Share of the connection limit that idle connections may fill. If each client kept its connection after one request,
-/// new clients would find no connection free although the forwarder is idle.
+/// Share of the connection limit that idle connections may fill. If each client kept its connection after one
+/// request, new clients would find no connection free although the forwarder is idle.
 const MAX_IDLE_SHARE: f64 = 0.3;
 /// Interval between the sweeps that time out connections.
 const SWEEP_INTERVAL: Micros = Micros(250_000);
-/// Age up to which a new connection may have its first request in flight. It is below the half second that a drain leaves
-/// until operators expect all connections to be closed.
+/// Age up to which a new connection may have its first request in flight. It is below the half second that a
+/// drain leaves until operators expect all connections to be closed.
 const FIRST_REQUEST_GRACE: Micros = Micros(300_000);
 /// Longest message id or idempotency key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
@@ -51,7 +51,8 @@
     used_at: Micros,
 }
 
-/// Eviction order: closing connections first, then those without a request so far, then the least recently used.
+/// Eviction order: closing connections first (such as those whose client made an error), then those without a
+/// request so far, then the least recently used.
 type EvictionRank = (bool, bool, Micros);
 
 /// Keys under which a connection is stored in the indexes.
@@ -63,7 +64,8 @@
     is_idle: bool,
 }
 
-/// The HTTP front. A request and a loop iteration each cost a few look-ups, however many connections are held.
+/// The HTTP front. A request and a loop iteration each cost a few look-ups, however many connections are
+/// held.
 pub struct HttpFront {
     /// None once no more connections are accepted.
     listener: Option<TcpListener>,
@@ -156,7 +158,8 @@
         self.connections.values().any(ClientConnection::has_unread_input)
     }
 
-    /// Closes up to `count` quiescent connections at once, least recently used first, to free their descriptors.
+    /// Closes up to `count` quiescent connections at once, least recently used first, to free their
+    /// descriptors.
     pub fn close_idle(&mut self, count: usize) {
         let oldest: Vec<u64> = self.idle.iter().map(|&(_, token)| token).collect();
         let idle = oldest
@@ -166,8 +169,8 @@
         idle.collect::<Vec<u64>>().into_iter().for_each(|token| self.remove(token));
     }
 
-    /// All connections, to be handed over to the successor process. Between two loop iterations the core holds no
-    /// submission.
+    /// All connections, to be handed over to the successor process. Between two loop iterations the core
+    /// holds no submission.
     pub fn hand_over(&self) -> (Vec<HandedClientConnection>, Vec<BorrowedFd<'_>>) {
         let connection = |connection: &'_ ClientConnection| {
             let &ClientConnection { state, leaving, continued, used_at, .. } = connection;
@@ -200,10 +203,10 @@
         (self.directory, self.max_connections) = (directory, max_connections);
     }
 
-    /// Switches to a listener on another address, which is already registered with the poll. Connections that wait at
-    /// the old listener are accepted first. Connections of the old listener finish their current request and close after
-    /// its answer. One without a request so far may have its first request in flight: it stays until that is answered or
-    /// the connection times out. Visits all connections.
+    /// Switches to a listener on another address, which is already registered with the poll. Connections that
+    /// wait at the old listener are accepted first. Connections of the old listener finish their current
+    /// request and close after its answer. One without a request so far may have its first request in flight:
+    /// it stays until that is answered or the connection times out. Visits all connections.
     pub fn move_to(&mut self, poll: &mut Poll, listener: TcpListener, now: Micros) {
         self.accept(poll, now);
         self.listener = Some(listener);
@@ -250,9 +253,9 @@
         }
     }
 
-    /// Closes one unused connection to make room for a new one: closing connections first, then those without a request
-    /// so far, then idle ones, the oldest first in each group. Silent connections, however many, thus keep no other
-    /// client out. A connection with unread input is in use.
+    /// Closes one unused connection to make room for a new one: closing connections first, then those without
+    /// a request so far, then idle ones, the oldest first in each group. Silent connections, however many,
+    /// thus keep no other client out. A connection with unread input is in use.
     fn evict_one(&mut self) {
         let is_evictable = |connection: &ClientConnection| {
             matches!(connection.state, ConnectionState::Lingering { .. }) || connection.is_quiescent()
@@ -287,7 +290,8 @@
         if (connection.state.is_answering() || !connection.stream.flushed())
             && connection.stream.input.len() > MAX_BUFFERED_INPUT
         {
-            // Clients send one request at a time; this one sends on. Its open request is answered, then it closes.
+            // Clients send one request at a time; this one sends on. Its open request is answered, then it
+            // closes.
             connection.state.close(now);
         }
         // A client that does not read its answers gets no further ones: they would accumulate in memory.
@@ -326,8 +330,8 @@
         self.advance_closing(token, now);
     }
 
-    /// Performs the closing steps that are possible now: write the queued output, shut down the sending side, discard
-    /// input, close the socket.
+    /// Performs the closing steps that are possible now: write the queued output, shut down the sending side,
+    /// discard input, close the socket.
     fn advance_closing(&mut self, token: u64, now: Micros) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.state.is_closing() {
@@ -398,14 +402,15 @@
         self.close_quiescent(oldest, now);
     }
 
-    /// Starts closing connections that have been idle for `idle_for`. Costs as much as the connections that close.
+    /// Starts closing connections that have been idle for `idle_for`. Costs as much as the connections that
+    /// close.
     fn close_idle_for(&mut self, now: Micros, idle_for: Micros) {
         let has_expired = |at: Micros| at.plus(idle_for) <= now;
         let expired = self.idle.iter().take_while(|(at, _)| has_expired(*at)).map(|&(_, token)| token);
         let mut closing: Vec<u64> = expired.collect();
         if idle_for == Micros(0) {
-            // Connections without a request so far close last, except those opened just now: their first request may
-            // be in flight, and would get no answer.
+            // Connections without a request so far close last, except those opened just now: their first
+            // request may be in flight, and would get no answer.
             let opened_by = |at: Micros| at.plus(FIRST_REQUEST_GRACE) <= now;
             let new = self
                 .eviction_order
@@ -423,7 +428,8 @@
             Connections::Kept | Connections::EndAnswered => {}
             Connections::EndUnused(idle_for) => self.close_idle_for(now, idle_for),
             Connections::End => {
-                // A connection without a request so far may have one in flight: it stays until the process ends.
+                // A connection without a request so far may have one in flight: it stays until the process
+                // ends.
                 self.stop_listening(poll, now);
                 self.close_all_idle(now);
             }
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -1,6 +1,6 @@
-//! HTTP interface for operators: readiness, statistics, drains, maintenance. Each connection carries one request, which is
-//! answered in the loop iteration in which it is complete. It shares nothing with the client fronts: it has few
-//! connections, short requests and a reserved file descriptor.
+//! HTTP interface for operators: readiness, statistics, drains, maintenance. Each connection carries one
+//! request, which is answered in the loop iteration in which it is complete. It shares nothing with the
+//! client fronts: it has few connections, short requests and a reserved file descriptor.
 
 use super::http::{self, Parsed, Request};
 use super::maintenance::Asked;
@@ -23,8 +23,8 @@
 const MAX_HEAD_BYTES: usize = 4096;
 /// Time within which a request is received in full, and within which its answer is read.
 const REQUEST_TIMEOUT: Micros = Micros(2_000_000);
-/// Time for which input after a request is read and discarded: closing over unread input sends a reset, which would
-/// discard the answer.
+/// Time for which input after a request is read and discarded: closing over unread input sends a reset, which
+/// would discard the answer.
 const LINGER_TIMEOUT: Micros = Micros(500_000);
 /// Time between attempts to listen on the address.
 const LISTEN_RETRY_INTERVAL: Micros = Micros(1_000_000);
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Accepts pending connections. At the limit, one connection is closed: an answered one if there is any, else the
-    /// oldest.
+    /// Accepts pending connections. At the limit, one connection is closed: an answered one if there is any,
+    /// else the oldest.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         loop {
             let Some(listener) = &self.listener else { return };
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Handles readiness of a connection. Returns the command once the request is complete; the caller then answers it
-    /// with [`Ops::answer`].
+    /// Handles readiness of a connection. Returns the command once the request is complete; the caller then
+    /// answers it with [`Ops::answer`].
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<Command> {
         let one = self.connections.get_mut(&token)?;
         if one.stream.ready(poll).is_err() {
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,4 +1,5 @@
-//! AMQP against a misbehaving stand-in broker, with effects counted; and with a published client library.
+//! The AMQP front against a misbehaving fake broker, with effects counted, and with a published client
+//! library.
 
 mod support;
 
@@ -15,14 +16,14 @@
 
 const CLASSES: [&str; 3] = ["note", "episode", "payment"];
 
-/// What a publisher knows of its messages.
+/// A publisher's record of its messages.
 #[derive(Default)]
 struct Published {
-    /// Taken on, by id, and the answers heard.
+    /// Answers received for each accepted message, by id.
     answers: BTreeMap<String, Vec<String>>,
-    /// Publishes without a confirm, by delivery tag.
+    /// Publishes that are not confirmed yet, by delivery tag.
     unconfirmed: BTreeMap<u64, String>,
-    turned_down: u32,
+    rejected: u32,
 }
 
 fn open(stage: &Stage) -> Wire {
@@ -34,7 +35,7 @@
     wire
 }
 
-/// Reads what has come, and acks each answer; false when the connection is over.
+/// Reads all received frames and acknowledges each answer. Returns false once the connection has ended.
 fn read(wire: &mut Wire, published: &mut Published) -> bool {
     loop {
         let (name, bytes) = match wire.frame() {
@@ -50,7 +51,7 @@
                 if name == method::ACK {
                     published.answers.entry(id).or_default();
                 } else {
-                    published.turned_down += 1;
+                    published.rejected += 1;
                 }
             }
             method::DELIVER => {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Publishes for so long, kills the node now and then, and checks what became of each message.
+/// Publishes for `length`, kills the forwarder every `kill_every`, and checks the outcome of each message.
 fn soak(name: &str, seed: u64, length: Duration, kill_every: Duration) -> String {
     let ledger = Arc::new(Mutex::new(Ledger::default()));
     let mut stage = Stage::new(name);
@@ -81,21 +82,21 @@
     stage.start();
     let mut random = fastrand::Rng::with_seed(seed);
     let (mut wire, mut published, mut kills) = (open(&stage), Published::default(), 0);
-    let (begun, mut number, mut tag, mut kill_at) = (Instant::now(), 0, 0, kill_every);
-    while begun.elapsed() < length {
+    let (started, mut number, mut tag, mut kill_at) = (Instant::now(), 0, 0, kill_every);
+    while started.elapsed() < length {
         number += 1;
         tag += 1;
         let class = CLASSES[random.usize(..3)];
         let id = format!("{class}-{number}");
         wire.publish(&id, class, "4", "3000", "answers", "x");
         published.unconfirmed.insert(tag, id);
-        assert!(read(&mut wire, &mut published), "the node ended a connection");
+        assert!(read(&mut wire, &mut published), "the forwarder closed a connection");
         std::thread::sleep(Duration::from_millis(random.u64(5..60)));
-        if begun.elapsed() > kill_at {
+        if started.elapsed() > kill_at {
             kill_at += kill_every;
             kills += 1;
             stage.kill();
-            // What the node had written before it died still counts.
+            // Output that the forwarder wrote before it was killed still counts.
             while read(&mut wire, &mut published) {}
             stage.start();
             wire = open(&stage);
@@ -108,14 +109,14 @@
             }
         }
     }
-    let settled = |published: &Published| {
+    let all_answered = |published: &Published| {
         published.unconfirmed.is_empty() && published.answers.values().all(|answers| !answers.is_empty())
     };
     let waited = Instant::now();
-    while !settled(&published) && waited.elapsed() < Duration::from_secs(30) {
-        assert!(read(&mut wire, &mut published), "the node ended a connection");
+    while !all_answered(&published) && waited.elapsed() < Duration::from_secs(30) {
+        assert!(read(&mut wire, &mut published), "the forwarder closed a connection");
     }
-    assert!(settled(&published), "something has no answer");
+    assert!(all_answered(&published), "a publish has no answer");
     let ledger = ledger.lock().unwrap();
     check(&published, &ledger, kills)
 }
@@ -124,37 +125,37 @@
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for (id, answers) in &published.answers {
         let effects = ledger.effects.get(id).copied().unwrap_or(0);
-        // An answer whose ack was lost with the node comes again, always the same.
+        // An answer whose ack was lost in a kill is delivered again, with the same content.
         assert!(answers.iter().all(|answer| *answer == answers[0]), "{id}: {answers:?}");
         *counts.entry(&answers[0]).or_default() += 1;
         if answers[0] == "delivered" {
-            assert!(effects > 0, "{id} is answered delivered and had no effect");
+            assert!(effects > 0, "{id} was answered as delivered but had no effect");
         }
         if id.starts_with("payment") {
-            assert!(answers[0] != "deferred" || effects == 0, "{id} took effect and is to come again");
+            assert!(answers[0] != "deferred" || effects == 0, "{id} took effect but is to be retried");
         }
     }
-    // Also those whose publish was never confirmed to the publisher.
+    // This includes payments whose publish was never confirmed to the publisher.
     let payments: Vec<u32> = ledger
         .effects
         .iter()
         .filter(|(id, _)| id.starts_with("payment"))
         .map(|(_, &effects)| effects)
         .collect();
-    let doubled = payments.iter().filter(|&&effects| effects > 1).count();
-    assert_eq!(doubled, 0, "payments that took effect more than once");
+    let duplicates = payments.iter().filter(|&&effects| effects > 1).count();
+    assert_eq!(duplicates, 0, "payments with more than one effect");
     let payments = payments.len();
     format!(
-        "taken on {}, turned down {}, kills {kills}, answers {counts:?}, payments with an effect {payments}, \
-         doubled {doubled}; the broker: {:?}",
+        "accepted {}, rejected {}, kills {kills}, answers {counts:?}, payments with an effect {payments}, \
+         doubled {duplicates}; the broker: {:?}",
         published.answers.len(),
-        published.turned_down,
+        published.rejected,
         ledger.dealt
     )
 }
 
 #[test]
-fn no_payment_is_doubled_by_a_misbehaving_broker() {
+fn misbehaving_broker_causes_no_duplicate_payment() {
     let seconds = std::env::var("CEDARWHARF_SOAK_SECONDS").ok().and_then(|text| text.parse().ok());
     let length = Duration::from_secs(seconds.unwrap_or(6));
     let kill_every = if seconds.is_some() { Duration::from_secs(20) } else { Duration::from_secs(2) };
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_published_client_library_publishes_and_hears_the_answer() {
+fn published_client_library_publishes_and_receives_the_answer() {
     let mut stage = Stage::new("lapin");
     let ledger = Arc::new(Mutex::new(Ledger::default()));
     serve(stage.listener("broker"), None, ledger.clone());
@@ -204,23 +205,23 @@
 }
 
 #[test]
-fn a_tenant_that_opens_connections_without_end_leaves_another_its_part() {
+fn tenant_that_opens_connections_without_limit_leaves_another_its_share() {
     let mut stage = Stage::new("amqp-crowd");
     let logins = "{tenant: acme, user: acme-pub, password: secret}, {tenant: other, user: other-pub, password: secret}";
     stage.write_fronts(&format!("amqp: {{listen: AMQP, tenants: [{logins}]}}\n"));
     stage.start();
     let mut crowd = Vec::new();
-    let refused = loop {
+    let rejection = loop {
         let mut wire = Wire::connect(stage.amqp);
         wire.open("acme-pub", "secret", "acme");
         match wire.hear() {
-            told if told.contains("channel.open-ok") => crowd.push(wire),
-            told => break told,
+            reply if reply.contains("channel.open-ok") => crowd.push(wire),
+            reply => break reply,
         }
-        assert!(crowd.len() < 64, "it took all connections");
+        assert!(crowd.len() < 64, "one tenant opened all connections");
     };
-    assert_eq!(refused, "0: connection.close 530 no connection left for this tenant");
-    // Half of 64 is its own, and of the other's half a quarter is not lent.
+    assert_eq!(rejection, "0: connection.close 530 no connection left for this tenant");
+    // Half of the 64 is its own share; a quarter of the other tenant's half is not lent.
     assert_eq!(crowd.len(), 56);
     for _ in 0..7 {
         let mut wire = Wire::connect(stage.amqp);
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,5 +1,6 @@
-//! Clients that hand in at every pace and in every form, and clients that do wrong: whoever does right beside them is served, and
-//! the process goes on. What is read is forced by a second connection: what one sends later is read later.
+//! Clients that submit at any speed and in any valid form, and misbehaving clients: well-behaved clients
+//! beside them are served, and the process keeps running. The tests force the order of reads with a second
+//! connection: input sent later is read later.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use support::load::{ask, platform, serve, Shared};
 use support::Stage;
 
-/// A stage whose notices are heard, and whose real servers deliver at once and count.
+/// A stage that receives delivery reports and whose endpoints deliver at once and count the effects.
 fn served(name: &str) -> (Stage, Shared) {
     let mut stage = Stage::new(name);
     let ledger = Shared::default();
@@ -34,19 +35,19 @@
     serde_json::from_str::<serde_json::Value>(&body).unwrap()["outstanding"].as_u64().unwrap()
 }
 
-/// Someone who does right, on a connection of their own that is kept.
-struct Usual {
+/// A well-behaved client on its own persistent connection.
+struct RegularClient {
     stream: TcpStream,
     next: u32,
 }
 
-impl Usual {
-    fn new(stage: &Stage) -> Usual {
-        Usual { stream: connect(stage), next: 0 }
+impl RegularClient {
+    fn new(stage: &Stage) -> RegularClient {
+        RegularClient { stream: connect(stage), next: 0 }
     }
 
-    /// Hands one in, and is taken on; everything that was sent to the process before has been read by then.
-    fn hands_in(&mut self) {
+    /// Submits a message, which is accepted. All input sent to the process earlier has been read by then.
+    fn submit(&mut self) {
         let id = format!("usual{}", self.next);
         self.next += 1;
         self.stream.write_all(request(&id, "note", 3, 30.0, "on").as_bytes()).unwrap();
@@ -54,8 +55,8 @@
         assert_eq!(status(&head), 202, "{id}: {head:?}");
     }
 
-    /// Nobody was turned down on the way, and all of it took effect once.
-    fn was_served(self, stage: &Stage, ledger: &Shared) {
+    /// Checks that each message of this client took effect exactly once.
+    fn assert_served(self, stage: &Stage, ledger: &Shared) {
         until("all is delivered", || outstanding(stage) == 0);
         let ledger = ledger.lock().unwrap();
         let effects = |number| ledger.effects.get(&format!("usual{number}")).copied();
@@ -63,7 +64,7 @@
     }
 }
 
-/// What the protocol page allows, each with the body that the real server is to be given.
+/// Request forms that the protocol allows, each with the body that the endpoint receives.
 fn forms() -> Vec<(&'static str, Vec<u8>, &'static str)> {
     let base = "Request-Class: note\r\nTenant: acme\r\n";
     let form = |head: &str, body: &'static str| {
@@ -85,10 +86,10 @@
 }
 
 #[test]
-fn a_request_in_pieces_cut_at_any_byte_is_taken_on_whole() {
+fn request_split_at_any_byte_is_accepted_in_full() {
     let (stage, ledger) = served("pieces");
     let (mut client, mut other) = (connect(&stage), connect(&stage));
-    // What was written before on another connection has been read.
+    // Waits until the input written earlier on the other connection has been read.
     let mut read = || {
         other.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
         let head = message(&mut other);
@@ -106,7 +107,7 @@
             assert_eq!(status(&message(&mut client)), 202, "{name}, cut at {cut}");
             bodies.insert(id, body);
         }
-        // And each byte on its own.
+        // Each byte is also sent on its own.
         let id = format!("c{number}x999");
         for byte in with_id(&form, &id) {
             client.write_all(&[byte]).unwrap();
@@ -124,13 +125,13 @@
 }
 
 #[test]
-fn bad_requests_get_their_4xx_and_a_close_and_cost_nobody_else_anything() {
+fn malformed_requests_get_a_4xx_and_a_close_without_affecting_other_clients() {
     let (stage, ledger) = served("bad");
-    let mut usual = Usual::new(&stage);
+    let mut regular = RegularClient::new(&stage);
     let good = request("g", "note", 2, 30.0, "hello");
     let long = "y".repeat(20_000);
-    // Text, status, and whether what follows can still be told apart.
-    let bad: Vec<(String, u16)> = vec![
+    // Request text and expected status.
+    let malformed: Vec<(String, u16)> = vec![
         ("\0\x01\x02\r\n\r\n".into(), 400),
         ("GET\r\n\r\n".into(), 400),
         ("POST /api HTTP/9.9\r\n\r\n".into(), 400),
@@ -144,31 +145,31 @@
         (good.replace("Content-Length: 5", "Content-Length: 70000"), 413),
         (good.replace("Content-Length: 5", "Transfer-Encoding: chunked"), 411),
         (format!("POST /api HTTP/1.1\r\nX: {long}\r\n\r\n"), 431),
-        // More bytes than declared: the first is whole, what is behind it is no request.
+        // More bytes than declared: the first request is complete, the rest is not a request.
         (format!("{good}more than declared\r\n\r\n"), 202),
     ];
-    for (text, told) in bad {
+    for (text, expected) in malformed {
         let mut client = connect(&stage);
-        // Cut off in the middle of what it writes, it finds out when it reads.
+        // A client that is cut off while it writes notices when it reads.
         let _ = client.write_all(text.as_bytes());
-        usual.hands_in();
-        assert_eq!(status(&message(&mut client)), told, "{text:.80}");
+        regular.submit();
+        assert_eq!(status(&message(&mut client)), expected, "{text:.80}");
         let rest = to_the_end(&mut client);
-        assert!(told != 202 || rest.starts_with("HTTP/1.1 400 "), "{text:.80}: {rest}");
-        usual.hands_in();
+        assert!(expected != 202 || rest.starts_with("HTTP/1.1 400 "), "{text:.80}: {rest}");
+        regular.submit();
     }
-    usual.was_served(&stage, &ledger);
-    assert_eq!(ledger.lock().unwrap().effects.get("g"), Some(&1), "the whole one, once");
+    regular.assert_served(&stage, &ledger);
+    assert_eq!(ledger.lock().unwrap().effects.get("g"), Some(&1), "the complete request, once");
 }
 
 #[test]
-fn clients_that_send_much_and_go_or_leave_before_their_answer_cost_nobody_else_anything() {
+fn clients_that_send_much_or_disconnect_before_their_answer_do_not_affect_others() {
     let (stage, ledger) = served("leave");
-    let mut usual = Usual::new(&stage);
-    usual.hands_in();
+    let mut regular = RegularClient::new(&stage);
+    regular.submit();
     let (mut ended, mut cut) = (Vec::new(), Vec::new());
     for round in 0..5 {
-        // Held still: all of it is there in one moment when it goes on.
+        // While the process is stopped the input accumulates; it is all present when the process continues.
         stage.signal("-STOP");
         let mut crowd = Vec::new();
         for number in 0..20 {
@@ -176,7 +177,8 @@
             let id = format!("left{round}x{number}");
             let whole = request(&id, "note", 2, 30.0, "hello");
             match number % 4 {
-                // The request is whole, and the client ends its sending, or everything.
+                // The request is complete, and the client shuts down its sending side or closes the
+                // connection.
                 0 | 1 => {
                     client.write_all(whole.as_bytes()).unwrap();
                     ended.push(id);
@@ -185,13 +187,13 @@
                         crowd.push(client);
                     }
                 }
-                // Half of one, and a reset.
+                // Half a request, then a reset.
                 2 => {
                     client.write_all(&whole.as_bytes()[..whole.len() / 2]).unwrap();
                     reset(client);
                     cut.push(id);
                 }
-                // Much at once, and a reset.
+                // Many requests at once, then a reset.
                 _ => {
                     client.set_write_timeout(Some(Duration::from_millis(20))).unwrap();
                     let _ = client.write_all(whole.repeat(400).as_bytes());
@@ -200,72 +202,73 @@
             }
         }
         stage.signal("-CONT");
-        usual.hands_in();
+        regular.submit();
         for client in &mut crowd {
             let text = to_the_end(client);
-            // Where a share of the places is full it may be turned down; it is told so, whole.
+            // Where a share is used up the request may be rejected, with a complete answer.
             assert!(text.starts_with("HTTP/1.1 202 ") || text.starts_with("HTTP/1.1 503 "), "{text:?}");
         }
-        until("all that was taken on is delivered", || outstanding(&stage) == 0);
+        until("all accepted messages are delivered", || outstanding(&stage) == 0);
     }
     let served = ledger.lock().unwrap().effects.clone();
-    assert!(cut.iter().all(|id| !served.contains_key(id)), "half a request is none");
+    assert!(cut.iter().all(|id| !served.contains_key(id)), "half a request has no effect");
     assert!(served.values().all(|&count| count == 1), "each once: {served:?}");
     assert!(ended.iter().filter(|id| served.contains_key(*id)).count() >= ended.len() / 2, "{served:?}");
-    usual.was_served(&stage, &ledger);
+    regular.assert_served(&stage, &ledger);
 }
 
 #[test]
-fn slow_writers_are_told_while_others_are_served() {
+fn slow_writers_get_a_408_while_other_clients_are_served() {
     let (stage, ledger) = served("slow");
-    let mut usual = Usual::new(&stage);
+    let mut regular = RegularClient::new(&stage);
     let mut writers: Vec<TcpStream> = (0..10).map(|_| connect(&stage)).collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     let whole = request("w", "note", 2, 30.0, &"z".repeat(500));
     let mut bytes = whole.bytes();
-    while begun.elapsed() < Duration::from_millis(2_600) {
+    while started.elapsed() < Duration::from_millis(2_600) {
         let byte = bytes.next().unwrap();
         writers.iter_mut().for_each(|writer| drop(writer.write_all(&[byte])));
-        usual.hands_in();
+        regular.submit();
         std::thread::sleep(Duration::from_millis(20));
     }
     for writer in &mut writers {
         assert_eq!(status(&message(writer)), 408);
     }
-    usual.was_served(&stage, &ledger);
+    regular.assert_served(&stage, &ledger);
 }
 
-/// The process's memory, in KiB.
+/// Resident memory of the process, in KiB.
 fn memory(stage: &mut Stage) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", stage.process().id())).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// Clients that ask and ask and read nothing: their answers are not piled up without end, and they are cut off.
+/// Clients that send requests without end and read no answer: their answers do not accumulate in memory, and
+/// they are disconnected.
 #[test]
-fn who_reads_no_answers_is_asked_no_more_and_cut_off_while_others_are_served() {
+fn client_that_reads_no_answers_is_disconnected_while_others_are_served() {
     let (mut stage, ledger) = served("reads-nothing");
-    let mut usual = Usual::new(&stage);
-    usual.hands_in();
+    let mut regular = RegularClient::new(&stage);
+    regular.submit();
     let before = memory(&mut stage);
-    let asking: Vec<_> = (0..4)
+    let clients: Vec<_> = (0..4)
         .map(|_| {
             let mut reader = connect(&stage);
             std::thread::spawn(move || {
-                // Until neither system has room, and the process cuts it off.
+                // Until the socket buffers on both sides are full and the process disconnects it.
                 let asks = b"GET /ready HTTP/1.1\r\n\r\n".repeat(1_000);
                 (0..10_000).find(|_| reader.write_all(&asks).is_err()).is_some()
             })
         })
         .collect();
     let mut most = before;
-    until("each is cut off", || {
-        usual.hands_in();
+    until("each client is disconnected", || {
+        regular.submit();
         most = most.max(memory(&mut stage));
-        asking.iter().all(|one| one.is_finished())
+        clients.iter().all(|one| one.is_finished())
     });
-    assert!(asking.into_iter().all(|one| one.join().unwrap()), "cut off, not read to the end");
+    assert!(clients.into_iter().all(|one| one.join().unwrap()), "disconnected, not read to the end");
     assert!(most < before + 2_000, "{before} KiB before, {most} KiB at the most");
-    usual.was_served(&stage, &ledger);
+    regular.assert_served(&stage, &ledger);
 }
