--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -149,10 +149,10 @@
         // The use of the old rate limits is dropped: with a new list each token gets its full burst.
         self.requests = ArrivalLimiter::default();
         self.requests.configure(self.tokens.iter().map(|token| token.requests).collect());
-        let known = |who: &Option<Token>| who.as_ref().is_none_or(|who| self.tokens.contains(who));
-        self.connections.retain(|_, one| one.awaits_change || known(&one.token));
+        let is_known = |token: &Option<Token>| token.as_ref().is_none_or(|token| self.tokens.contains(token));
+        self.connections.retain(|_, one| one.awaits_change || is_known(&one.token));
         for one in self.connections.values_mut() {
-            one.close |= !known(&one.token);
+            one.close |= !is_known(&one.token);
         }
     }
 
@@ -186,7 +186,7 @@
         self.connections.retain(|_, one| one.awaits_change || one.used_at.plus(IDLE_TIMEOUT) > now);
     }
 
-    /// When [`Admin::tick`] is due.
+    /// Time of the next [`Admin::tick`], if any.
     pub fn due(&self) -> Option<Micros> {
         let idle = self.connections.values().filter(|one| !one.awaits_change);
         idle.map(|one| one.used_at.plus(IDLE_TIMEOUT)).min()
@@ -321,7 +321,7 @@
     fn answer(
         &self,
         request: &Request,
-        who: &Token,
+        token: &Token,
         context: ApiContext,
         inputs: &mut Vec<Input>,
     ) -> Handling {
@@ -329,9 +329,9 @@
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         let tenants = &context.engine.directory().tenants;
         // The token of a removed tenant sees nothing.
-        let scope = who.tenant.as_ref().map(|name| tenants.active_index(name).unwrap_or(usize::MAX));
-        let sees = |tenant: usize| scope.is_none_or(|own| own == tenant);
-        let named = |name: &str| tenants.active_index(name).filter(|&t| sees(t));
+        let scope = token.tenant.as_ref().map(|name| tenants.active_index(name).unwrap_or(usize::MAX));
+        let can_see = |tenant: usize| scope.is_none_or(|own| own == tenant);
+        let named = |name: &str| tenants.active_index(name).filter(|&t| can_see(t));
         let list = |items: Vec<String>| Answer::text(format!("[{}]\n", items.join(",")));
         Handling::Answered(match (request.method.as_str(), &parts[..]) {
             // The configuration belongs to no tenant.
@@ -340,7 +340,7 @@
                 return changes::answer(request, rest, context.change_service, context.now)
             }
             ("GET", ["v1", "tenants"]) => {
-                list(tenants.active().filter(|&t| sees(t)).map(|t| self.tenant(t, context)).collect())
+                list(tenants.active().filter(|&t| can_see(t)).map(|t| self.tenant(t, context)).collect())
             }
             ("GET", ["v1", "tenants", name]) => match named(name) {
                 Some(tenant) => Answer::text(self.tenant(tenant, context) + "\n"),
@@ -354,7 +354,7 @@
                 }
                 None => Answer::empty(404),
             },
-            ("GET", ["v1", "flows"]) => list(self.flows(context, sees)),
+            ("GET", ["v1", "flows"]) => list(self.messages(context, can_see)),
             ("GET", ["v1", "counts"]) => {
                 let own = scope.map(|tenant| context.engine.tenant(tenant).0);
                 Answer::text(format!("{{{}}}\n", counts(&own.unwrap_or(context.engine.sums()))))
@@ -384,29 +384,30 @@
         )
     }
 
-    fn flows(&self, context: ApiContext, sees: impl Fn(usize) -> bool) -> Vec<String> {
+    fn messages(&self, context: ApiContext, can_see: impl Fn(usize) -> bool) -> Vec<String> {
         let names = context.engine.directory();
-        let seen = context.engine.flows().filter(|flow| sees(flow.tenant)).take(MAX_LISTED_MESSAGES);
-        let line = seen.map(|flow| {
-            let state = match flow.end {
+        let visible =
+            context.engine.flows().filter(|message| can_see(message.tenant)).take(MAX_LISTED_MESSAGES);
+        let lines = visible.map(|message| {
+            let state = match message.end {
                 Some(End::Delivered) => "delivered",
                 Some(End::Deferred(_)) => "deferred",
                 Some(_) => "undeliverable",
-                None if flow.out => "out",
+                None if message.out => "out",
                 None => "held",
             };
             format!(
                 "{{\"id\":\"{}\",\"tenant\":\"{}\",\"class\":\"{}\",\"dest\":{},\"attempts\":{},\
                  \"state\":\"{state}\",\"left_ms\":{}}}",
-                escape(&String::from_utf8_lossy(&flow.id)),
-                escape(names.tenants.name(flow.tenant)),
-                escape(names.classes.name(flow.class)),
-                flow.destination,
-                flow.attempts,
-                flow.time_left.0 / 1000
+                escape(&String::from_utf8_lossy(&message.id)),
+                escape(names.tenants.name(message.tenant)),
+                escape(names.classes.name(message.class)),
+                message.destination,
+                message.attempts,
+                message.time_left.0 / 1000
             )
         });
-        line.collect()
+        lines.collect()
     }
 }
 
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -74,13 +74,17 @@
 
 #[derive(Default)]
 struct Channel {
+    /// The client has selected publisher confirms.
     confirms: bool,
+    /// Publishes since `confirm.select`; the delivery tag of the last one.
     published: u64,
     /// A publish whose content has not been received in full.
     incoming: Option<IncomingPublish>,
     consumers: Vec<Consumer>,
     prefetch: usize,
+    /// Answers delivered on the channel; the delivery tag of the last one.
     delivered: u64,
+    /// Delivered answers without an acknowledgement, by delivery tag.
     unacked: BTreeMap<u64, (QueueName, Answer)>,
     /// Closed after an error: frames are ignored until the peer confirms the close.
     closing: bool,
@@ -458,7 +462,7 @@
         self.flush_all(poll, now, inputs);
     }
 
-    /// When [`AmqpFront::tick`] is due.
+    /// Time of the next [`AmqpFront::tick`], if any.
     pub fn due(&self) -> Option<Micros> {
         let due = |publisher: &Publisher| match publisher.stage {
             Stage::Ready => publisher.heartbeats.next_due(),
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -34,6 +34,7 @@
     state: ConnectionState,
     /// The listener that accepted it has moved: it closes after the next answer.
     leaving: bool,
+    /// `100 Continue` has been sent for the current request.
     continued: bool,
     used_at: Micros,
     index_keys: IndexKeys,
@@ -182,8 +183,11 @@
                 used_at,
             }
         };
-        let open = || self.connections.values().filter(|connection| !connection.state.is_answering());
-        (open().map(connection).collect(), open().map(|connection| connection.stream.hand_over().1).collect())
+        let transferable = || self.connections.values().filter(|connection| !connection.state.is_answering());
+        (
+            transferable().map(connection).collect(),
+            transferable().map(|connection| connection.stream.hand_over().1).collect(),
+        )
     }
 
     /// Takes over a connection from the predecessor process.
@@ -307,7 +311,7 @@
                         .state
                         .request_received(request.close || connection.leaving || closing_after_answer);
                     match parse_submission(token, request, &self.directory, self.is_ready) {
-                        Ok(offer) => inputs.push(Input::Offer(offer)),
+                        Ok(submission) => inputs.push(Input::Offer(submission)),
                         Err(status) => {
                             connection.state.response_queued(now, false);
                             send(poll, connection, status, &[], b"");
@@ -397,8 +401,8 @@
     /// Closes idle connections above their share of the limit, least recently used first.
     fn limit_idle(&mut self, now: Micros) {
         let max_idle = (self.max_connections as f64 * MAX_IDLE_SHARE) as usize;
-        let over = self.idle.len().saturating_sub(max_idle);
-        let oldest: Vec<u64> = self.idle.iter().take(over).map(|&(_, token)| token).collect();
+        let excess = self.idle.len().saturating_sub(max_idle);
+        let oldest: Vec<u64> = self.idle.iter().take(excess).map(|&(_, token)| token).collect();
         self.close_quiescent(oldest, now);
     }
 
@@ -454,7 +458,7 @@
         }
     }
 
-    /// When [`HttpFront::tick`] is due.
+    /// Time of the next [`HttpFront::tick`], if any.
     pub fn due(&self) -> Option<Micros> {
         let next_sweep = match self.connection_policy {
             Connections::EndUnused(_) | Connections::End if !self.connections.is_empty() => {
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -51,7 +51,7 @@
     StartDrain,
     /// End the drain.
     StopDrain,
-    /// MaintenancePlans of maintenance, and who is out.
+    /// List the maintenance plans and the forwarders that are out of service.
     MaintenancePlans,
     /// Request or cancel a maintenance plan; answered in a later loop iteration.
     ChangeMaintenance(Asked),
@@ -259,7 +259,7 @@
         }
     }
 
-    /// When [`Ops::tick`] is due.
+    /// Time of the next [`Ops::tick`], if any.
     pub fn due(&self) -> Option<Micros> {
         let listen_retry = self.listener.is_none().then_some(self.next_listen_at);
         self.connections.values().map(Connection::deadline).chain(listen_retry).min()
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -262,13 +262,13 @@
             })
         })
         .collect();
-    let mut most = before;
+    let mut peak = before;
     until("each client is disconnected", || {
         regular.submit();
-        most = most.max(memory(&mut stage));
+        peak = peak.max(memory(&mut stage));
         clients.iter().all(|one| one.is_finished())
     });
     assert!(clients.into_iter().all(|one| one.join().unwrap()), "disconnected, not read to the end");
-    assert!(most < before + 2_000, "{before} KiB before, {most} KiB at the most");
+    assert!(peak < before + 2_000, "{before} KiB before, {peak} KiB at the peak");
     regular.assert_served(&stage, &ledger);
 }
