--- a/src/net/amqp.rs
+++ b/src/net/amqp.rs
@@ -1,19 +1,20 @@
-//! AMQP 0-9-1 on the wire: frames, arguments and content properties, for both sides of a connection.
+//! Wire format of AMQP 0-9-1: frames, method arguments and content properties, for both sides of a
+//! connection.
 
 use std::rc::Rc;
 
-/// What a client sends first.
+/// Protocol header that a client sends first.
 pub const PROTOCOL: &[u8; 8] = b"AMQP\x00\x00\x09\x01";
-/// Largest frame that either side may send here.
+/// Largest frame that this implementation sends or accepts.
 pub const FRAME_MAX: u32 = 131_072;
-/// Bytes of a frame round its payload.
-const ROUND: usize = 8;
+/// Bytes of a frame besides its payload: type, channel, size and end marker.
+const FRAME_OVERHEAD: usize = 8;
 const FRAME_END: u8 = 0xCE;
 
-/// Class and method.
+/// Class id and method id.
 pub type Method = (u16, u16);
 
-/// The methods that are spoken here.
+/// The supported methods.
 #[allow(missing_docs)]
 pub mod method {
     use super::Method;
@@ -54,45 +55,46 @@
     pub const CONFIRM_SELECT_OK: Method = (85, 11);
 }
 
-/// A standard reply code and a text: what a close says.
+/// A protocol error: a standard reply code and a text, sent in a close method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault(pub u16, pub String);
 
-/// Makes a fault.
+/// Returns a [`Fault`] as an error.
 pub fn fault<T>(code: u16, text: &str) -> Result<T, Fault> {
     Err(Fault(code, text.to_owned()))
 }
 
-/// What a frame holds.
+/// Content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// A method with its arguments.
     Method(Method, Vec<u8>),
-    /// The head of a content: its size and properties.
+    /// A content header: the body size and the properties.
     Header(u64, Properties),
-    /// A part of a content.
+    /// A part of a content body.
     Body(Vec<u8>),
-    /// A sign of life.
+    /// A heartbeat.
     Heartbeat,
 }
 
 /// A frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// Its channel; 0 is the connection's own.
+    /// Its channel; 0 is the connection itself.
     pub channel: u16,
-    /// What it holds.
+    /// Its content.
     pub content: Content,
 }
 
-/// Reads a frame from the front of `input`, and tells how many bytes it took.
-pub fn read(input: &[u8], frame_max: u32) -> Result<Option<(Frame, usize)>, Fault> {
+/// Reads a frame from the start of `input`. Returns it with the number of bytes consumed, or none if it is
+/// incomplete.
+pub fn read_frame(input: &[u8], frame_max: u32) -> Result<Option<(Frame, usize)>, Fault> {
     let mut head = Args(input);
     let (Ok(kind), Ok(channel), Ok(size)) = (head.octet(), head.short(), head.long()) else {
         return Ok(None);
     };
     let size = size as usize;
-    if size + ROUND > frame_max as usize {
+    if size + FRAME_OVERHEAD > frame_max as usize {
         return fault(501, "frame too large");
     }
     let Some(payload) = head.0.get(..size) else { return Ok(None) };
@@ -105,18 +107,18 @@
     let content = match kind {
         1 => Content::Method((args.short()?, args.short()?), args.0.to_vec()),
         2 => {
-            args.long()?; // class and weight
+            args.long()?; // class id and weight
             Content::Header(args.long_long()?, Properties::read(&mut args)?)
         }
         3 => Content::Body(payload.to_vec()),
         8 => Content::Heartbeat,
         _ => return fault(501, "unknown frame type"),
     };
-    Ok(Some((Frame { channel, content }, size + ROUND)))
+    Ok(Some((Frame { channel, content }, size + FRAME_OVERHEAD)))
 }
 
 /// Writes one frame.
-fn write(out: &mut Vec<u8>, kind: u8, channel: u16, payload: &[u8]) {
+fn write_frame(out: &mut Vec<u8>, kind: u8, channel: u16, payload: &[u8]) {
     out.push(kind);
     out.extend(channel.to_be_bytes());
     out.extend((payload.len() as u32).to_be_bytes());
@@ -124,61 +126,61 @@
     out.push(FRAME_END);
 }
 
-/// Writes a method; `args` are built with [`Args`]' counterparts on `Vec<u8>`, see [`Put`].
+/// Writes a method frame; `args` are encoded with [`PutArgument`].
 pub fn write_method(out: &mut Vec<u8>, channel: u16, method: Method, args: &[u8]) {
     let mut payload = Vec::with_capacity(args.len() + 4);
     payload.put_short(method.0);
     payload.put_short(method.1);
     payload.extend(args);
-    write(out, 1, channel, &payload);
+    write_frame(out, 1, channel, &payload);
 }
 
-/// Writes a content: header and body frames.
+/// Writes a content as a header frame and body frames.
 pub fn write_content(out: &mut Vec<u8>, channel: u16, properties: &Properties, body: &[u8], frame_max: u32) {
     let mut payload = Vec::new();
     payload.put_short(60);
     payload.put_short(0);
     payload.extend((body.len() as u64).to_be_bytes());
     properties.write(&mut payload);
-    write(out, 2, channel, &payload);
-    for part in body.chunks(frame_max as usize - ROUND) {
-        write(out, 3, channel, part);
+    write_frame(out, 2, channel, &payload);
+    for part in body.chunks(frame_max as usize - FRAME_OVERHEAD) {
+        write_frame(out, 3, channel, part);
     }
 }
 
-/// Writes a sign of life.
+/// Writes a heartbeat frame.
 pub fn write_heartbeat(out: &mut Vec<u8>) {
-    write(out, 8, 0, &[]);
+    write_frame(out, 8, 0, &[]);
 }
 
-/// Writes the close of a connection (channel 0) or of a channel.
+/// Writes the close method of the connection (channel 0) or of a channel.
 pub fn write_close(out: &mut Vec<u8>, channel: u16, Fault(code, text): &Fault, cause: Method) {
     let mut args = Vec::new();
     args.put_short(*code);
-    args.put_name(text.as_bytes());
+    args.put_short_string(text.as_bytes());
     args.put_short(cause.0);
     args.put_short(cause.1);
     let method = if channel == 0 { method::CLOSE } else { method::CHANNEL_CLOSE };
     write_method(out, channel, method, &args);
 }
 
-/// Appends arguments.
-pub trait Put {
-    /// Two bytes.
+/// Encodes method arguments.
+pub trait PutArgument {
+    /// Appends a 16-bit number.
     fn put_short(&mut self, value: u16);
-    /// Four bytes.
+    /// Appends a 32-bit number.
     fn put_long(&mut self, value: u32);
-    /// Eight bytes.
+    /// Appends a 64-bit number.
     fn put_long_long(&mut self, value: u64);
-    /// A short string.
-    fn put_name(&mut self, text: &[u8]);
-    /// A long string.
-    fn put_text(&mut self, text: &[u8]);
-    /// A table of text values.
+    /// Appends a short string, cut to 255 bytes.
+    fn put_short_string(&mut self, text: &[u8]);
+    /// Appends a long string.
+    fn put_long_string(&mut self, text: &[u8]);
+    /// Appends a field table.
     fn put_table(&mut self, fields: &[(String, Value)]);
 }
 
-impl Put for Vec<u8> {
+impl PutArgument for Vec<u8> {
     fn put_short(&mut self, value: u16) {
         self.extend(value.to_be_bytes());
     }
@@ -191,13 +193,13 @@
         self.extend(value.to_be_bytes());
     }
 
-    fn put_name(&mut self, text: &[u8]) {
+    fn put_short_string(&mut self, text: &[u8]) {
         let text = &text[..text.len().min(255)];
         self.push(text.len() as u8);
         self.extend(text);
     }
 
-    fn put_text(&mut self, text: &[u8]) {
+    fn put_long_string(&mut self, text: &[u8]) {
         self.put_long(text.len() as u32);
         self.extend(text);
     }
@@ -205,11 +207,11 @@
     fn put_table(&mut self, fields: &[(String, Value)]) {
         let mut table = Vec::new();
         for (name, value) in fields {
-            table.put_name(name.as_bytes());
+            table.put_short_string(name.as_bytes());
             match value {
                 Value::Text(text) => {
                     table.push(b'S');
-                    table.put_text(text);
+                    table.put_long_string(text);
                 }
                 Value::Number(number) => {
                     table.push(b'l');
@@ -223,95 +225,95 @@
                 Value::Other => table.push(b'V'),
             }
         }
-        self.put_text(&table);
+        self.put_long_string(&table);
     }
 }
 
-/// A value in a table, as far as it is of use here.
+/// A value in a field table; types that are not needed are read as [`Value::Other`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A long string.
     Text(Vec<u8>),
-    /// Any whole number.
+    /// An integer of any width.
     Number(i64),
     /// A boolean.
     Flag(bool),
-    /// A table.
+    /// A nested table.
     Table(Vec<(String, Value)>),
-    /// Anything else.
+    /// A value of any other type.
     Other,
 }
 
-/// Arguments that are being read. What is cut short is a syntax error.
+/// Decodes method arguments. Truncated input is a syntax error.
 pub struct Args<'a>(pub &'a [u8]);
 
 impl<'a> Args<'a> {
-    fn some(&mut self, length: usize) -> Result<&'a [u8], Fault> {
-        let Some((taken, rest)) = self.0.split_at_checked(length) else {
+    fn take(&mut self, length: usize) -> Result<&'a [u8], Fault> {
+        let Some((bytes, rest)) = self.0.split_at_checked(length) else {
             return fault(502, "arguments cut short");
         };
         self.0 = rest;
-        Ok(taken)
+        Ok(bytes)
     }
 
     fn number<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
         let mut bytes = [0; N];
-        bytes.copy_from_slice(self.some(N)?);
+        bytes.copy_from_slice(self.take(N)?);
         Ok(bytes)
     }
 
-    /// One byte.
+    /// Reads an 8-bit number.
     pub fn octet(&mut self) -> Result<u8, Fault> {
         Ok(self.number::<1>()?[0])
     }
 
-    /// Two bytes.
+    /// Reads a 16-bit number.
     pub fn short(&mut self) -> Result<u16, Fault> {
         self.number().map(u16::from_be_bytes)
     }
 
-    /// Four bytes.
+    /// Reads a 32-bit number.
     pub fn long(&mut self) -> Result<u32, Fault> {
         self.number().map(u32::from_be_bytes)
     }
 
-    /// Eight bytes.
+    /// Reads a 64-bit number.
     pub fn long_long(&mut self) -> Result<u64, Fault> {
         self.number().map(u64::from_be_bytes)
     }
 
-    /// A short string.
-    pub fn name(&mut self) -> Result<&'a [u8], Fault> {
+    /// Reads a short string.
+    pub fn short_string(&mut self) -> Result<&'a [u8], Fault> {
         let length = self.octet()?;
-        self.some(length.into())
+        self.take(length.into())
     }
 
-    /// The same, which must be UTF-8.
-    pub fn name_text(&mut self) -> Result<String, Fault> {
-        let name = self.name()?.to_vec();
+    /// Reads a short string that must be UTF-8.
+    pub fn short_string_utf8(&mut self) -> Result<String, Fault> {
+        let name = self.short_string()?.to_vec();
         String::from_utf8(name).or_else(|_| fault(502, "a name is not UTF-8"))
     }
 
-    /// A long string.
-    pub fn text(&mut self) -> Result<&'a [u8], Fault> {
+    /// Reads a long string.
+    pub fn long_string(&mut self) -> Result<&'a [u8], Fault> {
         let length = self.long()?;
-        self.some(length as usize)
+        self.take(length as usize)
     }
 
-    /// A table.
+    /// Reads a field table.
     pub fn table(&mut self) -> Result<Vec<(String, Value)>, Fault> {
         self.nested_table(0)
     }
 
     fn nested_table(&mut self, depth: usize) -> Result<Vec<(String, Value)>, Fault> {
-        // A frame's worth of nesting would otherwise take as much stack.
+        // Without a limit, a frame full of nested tables would exhaust the stack.
         if depth > 8 {
             return fault(502, "table nested too deep");
         }
-        let mut inner = Args(self.text()?);
+        let mut inner = Args(self.long_string()?);
         let mut fields = Vec::new();
         while !inner.0.is_empty() {
-            let name = inner.name_text()?;
+            let name = inner.short_string_utf8()?;
             fields.push((name, inner.value(depth)?));
         }
         Ok(fields)
@@ -327,22 +329,22 @@
             b'I' => Value::Number((self.long()? as i32).into()),
             b'i' => Value::Number(self.long()?.into()),
             b'l' | b'L' | b'T' => Value::Number(self.long_long()? as i64),
-            b'S' => Value::Text(self.text()?.to_vec()),
+            b'S' => Value::Text(self.long_string()?.to_vec()),
             b'F' => Value::Table(self.nested_table(depth + 1)?),
             b'V' => Value::Other,
-            b'f' => self.some(4).map(|_| Value::Other)?,
-            b'd' => self.some(8).map(|_| Value::Other)?,
-            b'D' => self.some(5).map(|_| Value::Other)?,
-            b'A' | b'x' => self.text().map(|_| Value::Other)?,
+            b'f' => self.take(4).map(|_| Value::Other)?,
+            b'd' => self.take(8).map(|_| Value::Other)?,
+            b'D' => self.take(5).map(|_| Value::Other)?,
+            b'A' | b'x' => self.long_string().map(|_| Value::Other)?,
             _ => return fault(502, "unknown type in a table"),
         })
     }
 }
 
-/// Properties of a content, as far as they are of use here.
+/// Content properties; those that are not needed are skipped.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Properties {
-    /// Header table.
+    /// `headers`.
     pub headers: Vec<(String, Value)>,
     /// `delivery-mode`; 2 is persistent.
     pub delivery_mode: Option<u8>,
@@ -373,17 +375,17 @@
             return fault(502, "more property flags than there are properties");
         }
         let mut properties = Properties::default();
-        for bit in (1..16).rev().map(|place| 1u16 << place).filter(|bit| flags & bit != 0) {
+        for bit in (1..16).rev().map(|position| 1u16 << position).filter(|bit| flags & bit != 0) {
             match bit {
                 HEADERS => properties.headers = args.table()?,
                 DELIVERY_MODE => properties.delivery_mode = Some(args.octet()?),
-                // Priority and timestamp are the others that are no short string.
+                // Priority and timestamp are the remaining properties that are not short strings.
                 0x0800 => drop(args.octet()?),
                 0x0040 => drop(args.long_long()?),
                 _ => {
-                    let name = args.name()?;
-                    if let Some(kept) = properties.name(bit) {
-                        *kept = Some(name.into());
+                    let name = args.short_string()?;
+                    if let Some(property) = properties.string_property(bit) {
+                        *property = Some(name.into());
                     }
                 }
             }
@@ -391,7 +393,7 @@
         Ok(properties)
     }
 
-    fn name(&mut self, bit: u16) -> Option<&mut Option<Rc<[u8]>>> {
+    fn string_property(&mut self, bit: u16) -> Option<&mut Option<Rc<[u8]>>> {
         Some(match bit {
             CORRELATION_ID => &mut self.correlation_id,
             REPLY_TO => &mut self.reply_to,
@@ -419,11 +421,11 @@
         }
         out.extend(self.delivery_mode);
         for name in names.iter().filter_map(|(_, name)| name.as_ref()) {
-            out.put_name(name);
+            out.put_short_string(name);
         }
     }
 
-    /// A header as text; numbers are written out.
+    /// A header as text; numbers are converted to decimal.
     pub fn header(&self, name: &str) -> Option<Vec<u8>> {
         match &self.headers.iter().find(|(known, _)| known == name)?.1 {
             Value::Text(text) => Some(text.clone()),
@@ -433,37 +435,42 @@
     }
 }
 
-/// The two times that a connection keeps: when it last heard, and when it last said something.
+/// Heartbeat interval of a connection, with the times of the last input and output.
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
-    every: crate::Micros,
-    /// Last heard.
-    pub heard: crate::Micros,
-    /// Last said.
-    pub said: crate::Micros,
+pub struct HeartbeatTimer {
+    interval: crate::Micros,
+    /// Time of the last input.
+    pub last_received: crate::Micros,
+    /// Time of the last output.
+    pub last_sent: crate::Micros,
 }
 
-impl Pulse {
-    /// From now on, with the interval agreed; 0 means none.
-    pub fn new(seconds: u16, now: crate::Micros) -> Pulse {
-        Pulse { every: crate::Micros(u64::from(seconds) * 1_000_000), heard: now, said: now }
+impl HeartbeatTimer {
+    /// Starts with the negotiated interval in seconds; 0 turns heartbeats off.
+    pub fn new(seconds: u16, now: crate::Micros) -> HeartbeatTimer {
+        HeartbeatTimer {
+            interval: crate::Micros(u64::from(seconds) * 1_000_000),
+            last_received: now,
+            last_sent: now,
+        }
     }
 
-    /// The other side has been silent for two intervals.
-    pub fn dead(&self, now: crate::Micros) -> bool {
-        self.every.0 > 0 && now.minus(self.heard).0 >= 2 * self.every.0
+    /// Whether the peer has been silent for two intervals.
+    pub fn has_expired(&self, now: crate::Micros) -> bool {
+        self.interval.0 > 0 && now.minus(self.last_received).0 >= 2 * self.interval.0
     }
 
-    /// A heartbeat is to be sent.
-    pub fn wanted(&self, now: crate::Micros) -> bool {
-        self.every.0 > 0 && now.minus(self.said).0 >= self.every.0 / 2
+    /// Whether a heartbeat is due: nothing has been sent for half an interval.
+    pub fn is_send_due(&self, now: crate::Micros) -> bool {
+        self.interval.0 > 0 && now.minus(self.last_sent).0 >= self.interval.0 / 2
     }
 
-    /// When either may be.
-    pub fn due(&self) -> Option<crate::Micros> {
-        let half = crate::Micros(self.every.0 / 2);
-        let dead = crate::Micros(2 * self.every.0);
-        (self.every.0 > 0).then(|| self.said.plus(half).min(self.heard.plus(dead)))
+    /// Time of the next heartbeat or expiry, whichever is earlier.
+    pub fn next_due(&self) -> Option<crate::Micros> {
+        let send_interval = crate::Micros(self.interval.0 / 2);
+        let timeout = crate::Micros(2 * self.interval.0);
+        (self.interval.0 > 0)
+            .then(|| self.last_sent.plus(send_interval).min(self.last_received.plus(timeout)))
     }
 }
 
