--- a/example/toy_server.rs
+++ b/example/toy_server.rs
@@ -1,7 +1,7 @@
 //! A partner and a platform to try cedarwharf with: takes messages on 127.0.0.1:7171, answers one in four with 503,
 //! and plays discovery on 127.0.0.1:7172, where it prints the notices that come.
 
-use cedarwharf::net::http::{request, write_answer, Parsed, Request};
+use cedarwharf::net::http::{parse_request, write_response, Parsed, Request};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -25,7 +25,7 @@
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
     while let Ok(count @ 1..) = stream.read(&mut chunk) {
         input.extend(&chunk[..count]);
-        while let Parsed::Whole(request, used) = request(&input) {
+        while let Parsed::Complete(request, used) = parse_request(&input) {
             input.drain(..used);
             if stream.write_all(&answer(&request, NUMBER.fetch_add(1, Relaxed))).is_err() {
                 return;
@@ -40,15 +40,15 @@
     let text = String::from_utf8_lossy(&request.body);
     println!("partner: {id} \"{text}\" {}", if full { "turned away" } else { "taken" });
     std::thread::sleep(Duration::from_millis(150));
-    write_answer(if full { 503 } else { 200 }, &[], b"", false)
+    write_response(if full { 503 } else { 200 }, &[], b"", false)
 }
 
 fn discovery(request: &Request, _: usize) -> Vec<u8> {
     if request.method == "POST" {
         print!("notice: {}", String::from_utf8_lossy(&request.body));
-        return write_answer(204, &[], b"", false);
+        return write_response(204, &[], b"", false);
     }
     // Nothing ever changes here: each watch is held for a while.
     std::thread::sleep(Duration::from_secs(3));
-    write_answer(200, &[], br#"{"generation":1,"reset":false,"instances":[]}"#, false)
+    write_response(200, &[], br#"{"generation":1,"reset":false,"instances":[]}"#, false)
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -195,7 +195,7 @@
 
 fn run(options: Options) -> Exit {
     // Before anything else: a signal that is not handled yet would end the process.
-    let signals = Signals::take();
+    let signals = Signals::install();
     log::start();
     let signals = signals.map_err(|problem| format!("signals: {problem}"));
     match signals.and_then(|signals| node::run(config::load()?, options, signals)) {
@@ -220,7 +220,7 @@
         Some(path) => {
             let bytes = std::fs::read(path).map_err(|problem| problem.to_string());
             match bytes.and_then(|bytes| config::parse(bytes, PathBuf::new())) {
-                Ok(platform) => desk::check(&platform.base, &text, &DiskFiles).map(|_| ()),
+                Ok(platform) => desk::check(&platform.platform, &text, &DiskFiles).map(|_| ()),
                 Err(problem) => {
                     eprintln!("cedarwharf: {}: {problem}", path.display());
                     return Exit::Problems;
--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::membership::share::{ShareSettings, Shares};
 use crate::membership::{Identity, Node, Output, Settings as Pace};
-use crate::net::list::spread::Spread;
+use crate::net::list::spread::CallSpread;
 use crate::startup::kept::FRESH;
 use crate::startup::lists::{Came, Lists};
 use crate::startup::ramp::{Among, Ramp, STARTING};
@@ -175,7 +175,7 @@
 
 /// The watch's call to the list service.
 struct Watch {
-    spread: Spread,
+    spread: CallSpread,
     /// When its answer is there, and whether it is one.
     out: Option<(Micros, bool)>,
     not_before: Micros,
@@ -185,7 +185,7 @@
     /// Begins a call, or takes its end; tells whether an answer came.
     fn tick(&mut self, now: Micros, may: bool, knows: bool, world: &mut World) -> bool {
         if let Some((_, answered)) = self.out.take_if(|(ends, _)| *ends <= now) {
-            let pause = if answered { self.spread.go_on() } else { self.spread.after_failure() };
+            let pause = if answered { self.spread.next_call_delay() } else { self.spread.failure_backoff() };
             self.not_before = now.plus(pause);
             return answered;
         }
@@ -283,8 +283,8 @@
                 among: Among::default(),
             }
         });
-        let mut spread = Spread::new(siblings as u32, seed);
-        let not_before = if knows { now.plus(spread.start()) } else { now };
+        let mut spread = CallSpread::new(siblings as u32, seed);
+        let not_before = if knows { now.plus(spread.start_delay()) } else { now };
         let watch = Watch { spread, out: None, not_before };
         let life = Lifecycle::begin(now, knows, mates.is_some().then_some(DOUBTFUL));
         let mut dispatcher = Dispatcher::new(settings(siblings), seed);
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -4,7 +4,7 @@
 pub mod changes;
 
 use super::http::{self, Parsed, Request};
-use super::list::Book;
+use super::list::EndpointList;
 use super::poll::{Peer, Poll};
 use super::reports::escape;
 use super::stream::{self, Stream};
@@ -37,7 +37,7 @@
     /// The core.
     pub engine: &'a Engine,
     /// The service entries.
-    pub book: &'a Book,
+    pub book: &'a EndpointList,
     /// The configuration.
     pub change_service: &'a ChangeService,
     /// Now.
@@ -158,7 +158,8 @@
     /// New connections are there. The one unused for longest gives way where there are too many.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         while !self.retired {
-            let Some(socket) = stream::next(&self.listener, "administration", &mut self.listener_failures)
+            let Some(socket) =
+                stream::accept_next(&self.listener, "administration", &mut self.listener_failures)
             else {
                 break;
             };
@@ -201,7 +202,8 @@
     ) {
         let Some(one) = self.connections.get_mut(&token) else { return };
         one.used_at = view.now;
-        if one.stream.ready(poll).is_err() || one.stream.input.len() > LONGEST_BODY + 2 * http::LONGEST_HEAD {
+        if one.stream.ready(poll).is_err() || one.stream.input.len() > LONGEST_BODY + 2 * http::MAX_HEAD_BYTES
+        {
             self.connections.remove(&token);
             return;
         }
@@ -223,15 +225,15 @@
             if one.asked || one.stream.input.is_empty() {
                 break;
             }
-            match http::request_within(&one.stream.input, LONGEST_BODY) {
+            match http::parse_request_within(&one.stream.input, LONGEST_BODY) {
                 Parsed::Partial { .. } => break,
-                Parsed::Bad(status) => {
+                Parsed::Invalid(status) => {
                     one.close = true;
                     one.stream.input.clear();
                     self.send(poll, token, Answer::empty(status));
                     return;
                 }
-                Parsed::Whole(request, used) => {
+                Parsed::Complete(request, used) => {
                     one.stream.input.drain(..used);
                     one.close |= request.close;
                     let bearer = request.headers.get("Authorization").and_then(|v| v.strip_prefix("Bearer "));
@@ -301,7 +303,7 @@
         if !tag.is_empty() {
             extra.push(("ETag", &tag));
         }
-        let bytes = http::write_answer(answer.status, &extra, answer.body.as_bytes(), one.close);
+        let bytes = http::write_response(answer.status, &extra, answer.body.as_bytes(), one.close);
         if one.stream.send(poll, &bytes).is_err() || one.close {
             self.connections.remove(&token);
         }
@@ -401,14 +403,14 @@
     Answer { retry_after: Some(seconds), ..changes::problem(429, "too many requests", &problem.into(), None) }
 }
 
-fn entries(book: &Book) -> Vec<String> {
+fn entries(book: &EndpointList) -> Vec<String> {
     let line = book.0.values().map(|entry| {
-        let lifecycle = if entry.member.lifecycle == Lifecycle::Ready { "up" } else { "draining" };
+        let lifecycle = if entry.record.lifecycle == Lifecycle::Ready { "up" } else { "draining" };
         format!(
             "{{\"name\":\"{}\",\"address\":\"{}\",\"dest\":{},\"lifecycle\":\"{lifecycle}\"}}",
             escape(&entry.name),
             entry.address.map_or(String::new(), |address| address.to_string()),
-            entry.member.destination.0
+            entry.record.destination.0
         )
     });
     line.collect()
--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -118,7 +118,7 @@
         let directory = node.engine.directory().clone();
         node.servers.configure(to.dial_timeout, idle_time(to), model::endpoint_connection_limit(slots));
         node.platform.configure(directory.clone(), model::client_connection_limit(to.sockets, slots));
-        node.brokers.rename(directory.clone(), to.dial_timeout);
+        node.brokers.set_directory(directory.clone(), to.dial_timeout);
         if let Some(front) = &mut node.publishers {
             front.configure(directory, to.publishers.clone(), self.now);
         }
@@ -132,7 +132,7 @@
         let engine = &mut self.node.engine;
         match &step.to {
             Part::Sockets(sockets) => allow_sockets(*sockets).map(Held::Sockets),
-            Part::Listen(at) => self.bind("listen", Some(*at), Peer::Listener),
+            Part::Listen(at) => self.bind("listen", Some(*at), Peer::ClientListener),
             Part::AmqpListen(at) => self.bind("amqp.listen", *at, Peer::AmqpListener),
             Part::AdminListen(at) => self.bind("admin.listen", *at, Peer::AdminListener),
             Part::Members(None) => Ok(Held::Socket(None)),
@@ -226,7 +226,7 @@
                 let handed = node.members.as_ref().map(Members::hand_over);
                 let (siblings, seed) = (self.to.core.settings.forwarders, node.seed);
                 let folder = node.folder.clone();
-                node.watch.wanted = true;
+                node.watch.enabled = true;
                 let before = node.members.as_ref().and_then(Members::held);
                 node.members = told.as_ref().zip(socket).map(|(told, socket)| {
                     let start = members::Start { told, siblings, seed, folder: &folder, handed };
@@ -258,10 +258,10 @@
                 match (told, before) {
                     (Some((resolver, service)), before) => {
                         let mut lookups = DnsSd::new(*resolver, service, names);
-                        before.into_iter().for_each(|before| lookups.follow(before));
+                        before.into_iter().for_each(|before| lookups.take_over(before));
                         node.dns_sd = Some(lookups);
                     }
-                    (None, Some(before)) => node.learn(before.gone()),
+                    (None, Some(before)) => node.learn(before.into_removed()),
                     (None, None) => {}
                 }
             }
@@ -434,7 +434,7 @@
             return log!("configuration not read again: the process is stopping");
         }
         let base = match super::config::load() {
-            Ok(config) => config.base,
+            Ok(config) => config.platform,
             Err(problem) => return log!("configuration not read again, the old one stays: {problem}"),
         };
         let (who, why) = ("SIGHUP".to_owned(), "the files were read again".to_owned());
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -35,7 +35,7 @@
 const MOST_QUEUES: usize = 256;
 /// A handshake takes no longer.
 const HANDSHAKE: Micros = Micros(3_000_000);
-const LONGEST_BODY: u64 = crate::net::http::LONGEST_BODY as u64;
+const LONGEST_BODY: u64 = crate::net::http::MAX_BODY_BYTES as u64;
 
 /// An answer that waits to be acked.
 #[derive(Clone, Debug)]
@@ -180,13 +180,16 @@
     /// New connections are there.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         loop {
-            let Some(socket) = stream::next(&self.listener, "amqp", &mut self.listener_failures) else {
+            let Some(socket) = stream::accept_next(&self.listener, "amqp", &mut self.listener_failures)
+            else {
                 break;
             };
             if self.publishers.len() >= MOST_CONNECTIONS {
                 // Who is silent before it has opened costs nobody else a place.
-                let silent =
-                    self.publishers.iter().filter(|(_, one)| one.stage != Stage::Ready && one.stream.quiet());
+                let silent = self
+                    .publishers
+                    .iter()
+                    .filter(|(_, one)| one.stage != Stage::Ready && one.stream.is_reusable());
                 let oldest = silent.min_by_key(|(_, one)| one.began).map(|(&token, _)| token);
                 oldest.map(|token| self.publishers.remove(&token));
             }
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -27,7 +27,7 @@
 /// Longest id or idempotency key.
 const LONGEST_NAME: usize = 256;
 /// Behind a request that is with the core, so many bytes may wait: those of one more request.
-const MOST_WAITING: usize = http::LONGEST_HEAD + http::LONGEST_BODY;
+const MOST_WAITING: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 struct Edge {
     stream: Stream,
@@ -174,8 +174,8 @@
 
     /// Goes on with a connection that another process handed over.
     pub fn follow(&mut self, poll: &mut Poll, handed: HandedEdge, socket: OwnedFd) {
-        let token = poll.token(Peer::Edge);
-        let Ok(stream) = Stream::follow(poll, token, handed.stream, socket) else { return };
+        let token = poll.token(Peer::Client);
+        let Ok(stream) = Stream::take_over(poll, token, handed.stream, socket) else { return };
         let HandedEdge { life, leaving, continued, used_at, .. } = handed;
         let life = life.unwrap_or(Life::Resting { since: used_at });
         let edge = Edge { stream, life, leaving, continued, used_at, spot: Spot::NONE };
@@ -210,19 +210,19 @@
         while let Some(socket) = self
             .listener
             .as_ref()
-            .and_then(|listener| stream::next(listener, "clients", &mut self.listener_failures))
+            .and_then(|listener| stream::accept_next(listener, "clients", &mut self.listener_failures))
         {
             if self.edges.len() >= self.most {
                 self.make_room();
             }
-            let token = poll.token(Peer::Edge);
+            let token = poll.token(Peer::Client);
             let Ok(stream) = Stream::accepted(poll, token, socket) else { continue };
             let life = Life::open(now);
             let mut edge =
                 Edge { stream, life, leaving: false, continued: false, used_at: now, spot: Spot::NONE };
             if self.edges.len() >= self.most {
                 // A turn-down that the client can read; the socket is let go with it.
-                let answer = http::write_answer(503, &[("Retry-After", "0.5")], b"", true);
+                let answer = http::write_response(503, &[("Retry-After", "0.5")], b"", true);
                 let _ = edge.stream.send(poll, &answer);
                 log!("clients: {} connections, one more turned down", self.edges.len());
                 continue;
@@ -270,8 +270,8 @@
         }
         // Who does not read its answers is not given more of them: they would pile up here.
         while edge.life.reads() && edge.stream.flushed() && !edge.stream.input.is_empty() {
-            match http::request(&edge.stream.input) {
-                Parsed::Whole(request, used) => {
+            match http::parse_request(&edge.stream.input) {
+                Parsed::Complete(request, used) => {
                     edge.stream.input.drain(..used);
                     edge.continued = false;
                     edge.life.asked(request.close || edge.leaving || leaving);
@@ -283,14 +283,14 @@
                         }
                     }
                 }
-                Parsed::Partial { expects } => {
+                Parsed::Partial { expects_continue } => {
                     edge.life.begun(now);
-                    if expects && !std::mem::replace(&mut edge.continued, true) {
+                    if expects_continue && !std::mem::replace(&mut edge.continued, true) {
                         let _ = edge.stream.send(poll, b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     break;
                 }
-                Parsed::Bad(status) => {
+                Parsed::Invalid(status) => {
                     edge.life.end(now);
                     send(poll, edge, status, &[], b"");
                 }
@@ -311,7 +311,7 @@
         if edge.stream.ended {
             edge.life.client_ended(now, flushed);
         }
-        if flushed && edge.life.flushed(now) && edge.stream.end_sending().is_err() {
+        if flushed && edge.life.flushed(now) && edge.stream.shutdown_write().is_err() {
             edge.life = Life::Gone;
         }
         if edge.life == Life::Gone {
@@ -426,13 +426,13 @@
 impl Edge {
     /// Bytes have come that are still with the system, and that would be read as a request now.
     fn unread(&self) -> bool {
-        self.life.reads() && self.stream.flushed() && self.stream.unread()
+        self.life.reads() && self.stream.flushed() && self.stream.has_unread()
     }
 
     /// Nothing is under way on it: nothing has come that is still to be read, and all is written.
     fn idle(&self) -> bool {
         matches!(self.life, Life::Open { .. } | Life::Resting { .. })
-            && self.stream.quiet()
+            && self.stream.is_reusable()
             && self.stream.flushed()
     }
 }
@@ -444,7 +444,7 @@
 fn send(poll: &Poll, edge: &mut Edge, status: u16, headers: &[(&str, &str)], body: &[u8]) {
     let allow = [("Allow", if status == 405 { "POST" } else { "" })];
     let headers = if status == 405 { &allow[..] } else { headers };
-    if edge.stream.send(poll, &http::write_answer(status, headers, body, edge.life.ends())).is_err() {
+    if edge.stream.send(poll, &http::write_response(status, headers, body, edge.life.ends())).is_err() {
         edge.life = Life::Gone;
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,6 +1,6 @@
-//! What the forwarder is told at its start: the JSON file named by `PROXY_CONFIG`, read at the start and at SIGHUP.
+//! What the forwarder is settings_value at its start: the JSON file named by `PROXY_CONFIG`, read at the start and at SIGHUP.
 
-use super::list::{self, Names, News};
+use super::list::{self, ListUpdate, Names};
 use crate::config::model::PlatformConfig;
 use crate::settings;
 use simd_json::prelude::*;
@@ -13,27 +13,27 @@
 #[derive(Clone)]
 pub struct Config {
     /// The folder that lasts.
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     /// For random numbers.
     pub seed: u64,
     /// The list as last held.
-    pub known: Option<News>,
+    pub known: Option<ListUpdate>,
     /// Where operators' staff call.
-    pub ops: Option<SocketAddr>,
+    pub ops_address: Option<SocketAddr>,
     /// All that operators can set too.
-    pub base: PlatformConfig,
+    pub platform: PlatformConfig,
 }
 
 /// Reads the platform's file and the environment.
 pub fn load() -> Result<Config, String> {
     let path = std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG is not set".to_owned())?;
     let bytes = std::fs::read(&path).map_err(|problem| format!("{path}: {problem}"))?;
-    let state = std::env::var("PROXY_STATE").map_err(|_| "PROXY_STATE is not set".to_owned())?;
-    let mut config = parse(bytes, state.into()).map_err(|problem| format!("{path}: {problem}"))?;
+    let state_folder = std::env::var("PROXY_STATE").map_err(|_| "PROXY_STATE is not set".to_owned())?;
+    let mut config = parse(bytes, state_folder.into()).map_err(|problem| format!("{path}: {problem}"))?;
     // It belongs to this process, while one that follows it may be given the same file.
     if let Some(text) = std::env::var("PROXY_ADMIN_ADDR").ok().filter(|text| !text.is_empty()) {
         match text.parse() {
-            Ok(address) => config.ops = Some(address),
+            Ok(address) => config.ops_address = Some(address),
             Err(_) => {
                 log!("PROXY_ADMIN_ADDR: \"{text}\" is no address: write IP:PORT; admin_addr of {path} counts")
             }
@@ -56,21 +56,25 @@
 }
 
 /// Reads the file's text.
-pub fn parse(mut bytes: Vec<u8>, state: PathBuf) -> Result<Config, String> {
+pub fn parse(mut bytes: Vec<u8>, state_folder: PathBuf) -> Result<Config, String> {
     let value = simd_json::to_borrowed_value(&mut bytes).map_err(|problem| problem.to_string())?;
-    let told = value.get("settings").ok_or("settings is missing: add the object that the platform tells")?;
+    let settings_value =
+        value.get("settings").ok_or("settings is missing: add the object that the platform tells")?;
     let mut pairs = BTreeMap::new();
-    flatten(told, "", &mut pairs);
+    flatten(settings_value, "", &mut pairs);
     let settings = settings::from_pairs(pairs.iter().map(|(path, text)| (path.as_str(), text.as_str())))?;
-    let texts = |key: &str| -> Vec<String> {
-        items(told, key).iter().filter_map(|item| item.as_str().map(str::to_owned)).collect()
+    let text_list = |key: &str| -> Vec<String> {
+        items(settings_value, key).iter().filter_map(|item| item.as_str().map(str::to_owned)).collect()
     };
-    let named = |key: &str| -> Vec<String> {
-        items(told, key).iter().map(|item| item.get_str("name").unwrap_or_default().to_owned()).collect()
+    let names_of = |key: &str| -> Vec<String> {
+        items(settings_value, key)
+            .iter()
+            .map(|item| item.get_str("name").unwrap_or_default().to_owned())
+            .collect()
     };
     let limit = |key: &str| value.get("limits").and_then(|limits| limits.get(key)?.cast_f64());
     let seed = value.get_str("seed").unwrap_or_default();
-    let names = Names { kinds: texts("shapes"), zones: texts("zones") };
+    let names = Names { kinds: text_list("shapes"), zones: text_list("zones") };
     let dial_ms = pairs.get("policyLimits.dialTimeoutMs").and_then(|text| text.parse().ok());
     let known = value.get("known").and_then(|known| {
         let read = list::read(known, &names);
@@ -79,18 +83,18 @@
         }
         read
     });
-    let base = PlatformConfig {
+    let platform = PlatformConfig {
         listen: address(&value, "listen")?,
         discovery: address(&value, "discovery")?,
         sockets: limit("sockets").map_or(1024, |sockets| sockets as usize),
         disk: limit("disk_mb").map_or(3 << 20, |mb| (mb * 1e6) as u64),
         settings,
         dial_timeout: crate::Micros::from_ms(dial_ms.unwrap_or(1500.0)),
-        classes: named("requestClasses"),
-        tenants: named("realms"),
+        classes: names_of("requestClasses"),
+        tenants: names_of("realms"),
         names,
     };
-    let ops = value.get_str("admin_addr").filter(|text| !text.is_empty()).and_then(|text| {
+    let ops_address = value.get_str("admin_addr").filter(|text| !text.is_empty()).and_then(|text| {
         let address = text.parse().ok();
         if address.is_none() {
             log!("admin_addr: \"{text}\" is no address: write IP:PORT; nobody listens for operators' calls");
@@ -98,7 +102,7 @@
         address
     });
     let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| list::endpoint_id(seed).0);
-    Ok(Config { state, seed, known, ops, base })
+    Ok(Config { state_folder, seed, known, ops_address, platform })
 }
 
 /// Nested JSON as pairs of path and text: lists of plain values joined by commas, lists of objects counted.
@@ -115,15 +119,15 @@
                 flatten(item, &below(&index.to_string()), pairs);
             }
         } else {
-            let texts: Vec<String> = items.iter().filter_map(plain).collect();
+            let texts: Vec<String> = items.iter().filter_map(scalar_text).collect();
             pairs.insert(path.to_owned(), texts.join(","));
         }
-    } else if let Some(text) = plain(value) {
+    } else if let Some(text) = scalar_text(value) {
         pairs.insert(path.to_owned(), text);
     }
 }
 
-fn plain(value: &BorrowedValue) -> Option<String> {
+fn scalar_text(value: &BorrowedValue) -> Option<String> {
     if let Some(text) = value.as_str() {
         return Some(text.to_owned());
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -3,7 +3,7 @@
 //! them, are told in `docs/operations-design.md`.
 
 use super::clients::platform::HandedEdge;
-use super::list::{endpoint_id, Entry, Names};
+use super::list::{endpoint_id, ListEntry, Names};
 use super::members;
 use super::servers::http::HandedConnection;
 use crate::engine::handover::Handed;
@@ -69,9 +69,9 @@
     /// See above.
     pub generation: Option<u64>,
     /// See above.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
     /// What look-ups found.
-    pub looked_up: Vec<Entry>,
+    pub looked_up: Vec<ListEntry>,
     /// Kinds of destination, and zones, in the order of the old settings.
     pub names: Names,
     /// What the listeners are for.
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,17 +1,17 @@
 //! HTTP/1.1: requests and answers, read from and written to byte buffers.
 
 /// Longest head of a request or an answer.
-pub const LONGEST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Longest body of a request.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Longest body of an answer to a call.
-pub const LONGEST_ANSWER: usize = 64 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 /// The same where a whole list of service entries may come.
-pub const LONGEST_LIST: usize = 8 * 1024 * 1024;
-/// Bytes of empty lines before a request at most.
-const MOST_SKIPPED: usize = 64;
-/// Interim answers before the real one at most.
-const MOST_INTERIM: usize = 16;
+pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
+/// Bytes of empty lines before a request at max_body.
+const MAX_EMPTY_LINE_BYTES: usize = 64;
+/// Interim answers before the real one at max_body.
+const MAX_INTERIM_RESPONSES: usize = 16;
 
 /// Headers in order, names as sent.
 #[derive(Debug, Default, PartialEq)]
@@ -63,19 +63,19 @@
     /// More bytes are needed. The peer may be waiting for `100 Continue`.
     Partial {
         /// It is.
-        expects: bool,
+        expects_continue: bool,
     },
     /// Whole, and how many bytes it took.
-    Whole(T, usize),
+    Complete(T, usize),
     /// Cannot be read: the status to answer with.
-    Bad(u16),
+    Invalid(u16),
 }
 
 /// Start line and headers, and where the body begins. `None` while the head is not whole.
-fn head(input: &[u8]) -> Result<Option<(&str, Headers, usize)>, u16> {
-    let end = input.windows(4).take(LONGEST_HEAD).position(|four| four == b"\r\n\r\n");
+fn parse_head(input: &[u8]) -> Result<Option<(&str, Headers, usize)>, u16> {
+    let end = input.windows(4).take(MAX_HEAD_BYTES).position(|four| four == b"\r\n\r\n");
     let Some(end) = end else {
-        return if input.len() > LONGEST_HEAD { Err(431) } else { Ok(None) };
+        return if input.len() > MAX_HEAD_BYTES { Err(431) } else { Ok(None) };
     };
     let text = std::str::from_utf8(&input[..end]).map_err(|_| 400u16)?;
     let mut lines = text.split("\r\n");
@@ -93,70 +93,70 @@
 }
 
 /// Reads a request from the front of `input`.
-pub fn request(input: &[u8]) -> Parsed<Request> {
-    request_within(input, LONGEST_BODY)
+pub fn parse_request(input: &[u8]) -> Parsed<Request> {
+    parse_request_within(input, MAX_BODY_BYTES)
 }
 
 /// The same with another bound of the body.
-pub fn request_within(input: &[u8], longest_body: usize) -> Parsed<Request> {
-    read_request(input, longest_body, true)
+pub fn parse_request_within(input: &[u8], max_body: usize) -> Parsed<Request> {
+    parse_any_request(input, max_body, true)
 }
 
 /// The same where a method that usually carries a body need not tell its length: none told means none.
-pub fn call(input: &[u8], longest_body: usize) -> Parsed<Request> {
-    read_request(input, longest_body, false)
+pub fn parse_call(input: &[u8], max_body: usize) -> Parsed<Request> {
+    parse_any_request(input, max_body, false)
 }
 
-fn read_request(input: &[u8], longest_body: usize, tells_length: bool) -> Parsed<Request> {
+fn parse_any_request(input: &[u8], max_body: usize, length_required: bool) -> Parsed<Request> {
     // Empty lines before a request are let pass.
     let skipped = input.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
-    if skipped > MOST_SKIPPED {
-        return Parsed::Bad(400);
+    if skipped > MAX_EMPTY_LINE_BYTES {
+        return Parsed::Invalid(400);
     }
     let input = &input[skipped..];
-    let (start, headers, at) = match head(input) {
+    let (start, headers, at) = match parse_head(input) {
         Ok(Some(head)) => head,
-        Ok(None) => return Parsed::Partial { expects: false },
-        Err(status) => return Parsed::Bad(status),
+        Ok(None) => return Parsed::Partial { expects_continue: false },
+        Err(status) => return Parsed::Invalid(status),
     };
     let mut words = start.split(' ');
     let (Some(method), Some(target), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Parsed::Bad(400);
+        return Parsed::Invalid(400);
     };
     let old = version == "HTTP/1.0";
     let method_ok = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
     if !method_ok || !(old || version == "HTTP/1.1") || !target.starts_with('/') {
-        return Parsed::Bad(400);
+        return Parsed::Invalid(400);
     }
-    let carries = tells_length && matches!(method, "POST" | "PUT" | "PATCH");
+    let carries = length_required && matches!(method, "POST" | "PUT" | "PATCH");
     let length = match headers.length() {
         Ok(length) => length,
-        Err(()) => return Parsed::Bad(400),
+        Err(()) => return Parsed::Invalid(400),
     };
     // With both, another reader may take the body to end elsewhere, and what it hides for a request of its own.
     if headers.get("transfer-encoding").is_some() && length.is_some() {
-        return Parsed::Bad(400);
+        return Parsed::Invalid(400);
     }
     if headers.get("transfer-encoding").is_some() || carries && length.is_none() {
-        return Parsed::Bad(411);
+        return Parsed::Invalid(411);
     }
     let length = length.unwrap_or(0);
-    if length > longest_body {
-        return Parsed::Bad(413);
+    if length > max_body {
+        return Parsed::Invalid(413);
     }
     let Some(body) = input.get(at..at + length) else {
-        return Parsed::Partial { expects: headers.has("expect", "100-continue") };
+        return Parsed::Partial { expects_continue: headers.has("expect", "100-continue") };
     };
     let close = headers.has("connection", "close") || old && !headers.has("connection", "keep-alive");
     let (method, target, body) = (method.to_owned(), target.to_owned(), body.to_vec());
-    Parsed::Whole(Request { method, target, headers, body, close }, skipped + at + length)
+    Parsed::Complete(Request { method, target, headers, body, close }, skipped + at + length)
 }
 
 /// An answer.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its headers.
@@ -168,10 +168,10 @@
 }
 
 /// The status of the real answer, once its first line is whole; interim answers before it are skipped.
-pub fn first_line(mut input: &[u8]) -> Option<u16> {
-    for _ in 0..=MOST_INTERIM {
+pub fn response_status(mut input: &[u8]) -> Option<u16> {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let end = input.iter().position(|&byte| byte == b'\n')?;
-        let status = status(std::str::from_utf8(&input[..end]).ok()?.trim_end())?;
+        let status = parse_status(std::str::from_utf8(&input[..end]).ok()?.trim_end())?;
         if status >= 200 {
             return Some(status);
         }
@@ -182,16 +182,16 @@
 
 /// Headers of the real answer whose lines have come whole, though its head may not have; interim answers before it are
 /// skipped. Empty where what has come is no answer.
-pub fn headers_so_far(mut input: &[u8]) -> Headers {
-    for _ in 0..=MOST_INTERIM {
+pub fn complete_headers(mut input: &[u8]) -> Headers {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let Some(line_end) = input.iter().position(|&byte| byte == b'\n') else { break };
         let start = std::str::from_utf8(&input[..line_end]).map(str::trim_end);
-        match start.ok().and_then(status) {
+        match start.ok().and_then(parse_status) {
             Some(100..200) => match input.windows(4).position(|four| four == b"\r\n\r\n") {
                 Some(end) => input = &input[end + 4..],
                 None => break,
             },
-            Some(_) => return whole_lines(&input[line_end + 1..]),
+            Some(_) => return parse_complete_lines(&input[line_end + 1..]),
             None => break,
         }
     }
@@ -199,8 +199,8 @@
 }
 
 /// The headers of a head's whole lines, to its end or to what cannot be read.
-fn whole_lines(head: &[u8]) -> Headers {
-    let head = &head[..head.len().min(LONGEST_HEAD)];
+fn parse_complete_lines(head: &[u8]) -> Headers {
+    let head = &head[..head.len().min(MAX_HEAD_BYTES)];
     let whole = head.split_inclusive(|&byte| byte == b'\n').map_while(|line| line.strip_suffix(b"\r\n"));
     let headers = whole.map_while(|line| {
         let (name, value) = std::str::from_utf8(line).ok()?.split_once(':')?;
@@ -210,77 +210,83 @@
 }
 
 /// Whether this may still become an answer: noise is known by its first bytes.
-fn begins_well(input: &[u8]) -> bool {
+fn may_be_response(input: &[u8]) -> bool {
     input.iter().zip(b"HTTP/1.").all(|(byte, wanted)| byte == wanted)
 }
 
-fn status(line: &str) -> Option<u16> {
+fn parse_status(line: &str) -> Option<u16> {
     let rest = line.strip_prefix("HTTP/1.1 ").or_else(|| line.strip_prefix("HTTP/1.0 "))?;
     let code = rest.split(' ').next()?;
     code.parse().ok().filter(|number: &u16| code.len() == 3 && *number >= 100)
 }
 
-/// Reads an answer from the front of `input`, its body no longer than `most`; `ended` tells that no more will come.
+/// Reads an answer from the front of `input`, its body no longer than `max_body`; `ended` tells that no more will come.
 /// Interim answers before it are skipped.
-pub fn answer(input: &[u8], ended: bool, most: usize) -> Parsed<Answer> {
+pub fn parse_response(input: &[u8], ended: bool, max_body: usize) -> Parsed<Response> {
     let mut skipped = 0;
-    for _ in 0..=MOST_INTERIM {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let rest = &input[skipped..];
-        if !begins_well(rest) {
+        if !may_be_response(rest) {
             break;
         }
-        let (start, headers, at) = match head(rest) {
+        let (start, headers, at) = match parse_head(rest) {
             Ok(Some(head)) => head,
-            Ok(None) if !ended => return Parsed::Partial { expects: false },
+            Ok(None) if !ended => return Parsed::Partial { expects_continue: false },
             _ => break,
         };
-        match status(start) {
+        match parse_status(start) {
             Some(100..200) => skipped += at,
             Some(status) => {
-                return match real_answer(status, headers, &rest[at..], ended, most) {
-                    Parsed::Whole(answer, used) => Parsed::Whole(answer, skipped + at + used),
+                return match parse_final_response(status, headers, &rest[at..], ended, max_body) {
+                    Parsed::Complete(answer, used) => Parsed::Complete(answer, skipped + at + used),
                     other => other,
                 };
             }
             None => break,
         }
     }
-    Parsed::Bad(400)
+    Parsed::Invalid(400)
 }
 
 /// The same behind the head: how long the body is, and whether it is all there.
-fn real_answer(status: u16, headers: Headers, rest: &[u8], ended: bool, most: usize) -> Parsed<Answer> {
-    let Ok(length) = headers.length() else { return Parsed::Bad(400) };
+fn parse_final_response(
+    status: u16,
+    headers: Headers,
+    rest: &[u8],
+    ended: bool,
+    max_body: usize,
+) -> Parsed<Response> {
+    let Ok(length) = headers.length() else { return Parsed::Invalid(400) };
     let (body, used, mut close) = if status == 204 || status == 304 {
         (Vec::new(), 0, false)
     } else if headers.has("transfer-encoding", "chunked") {
-        match chunks(rest, most) {
+        match parse_chunks(rest, max_body) {
             Ok(Some((body, used))) => (body, used, false),
-            Ok(None) if !ended => return Parsed::Partial { expects: false },
-            _ => return Parsed::Bad(400),
+            Ok(None) if !ended => return Parsed::Partial { expects_continue: false },
+            _ => return Parsed::Invalid(400),
         }
     } else if let Some(length) = length {
-        if length > most {
-            return Parsed::Bad(400);
+        if length > max_body {
+            return Parsed::Invalid(400);
         }
         match rest.get(..length) {
             Some(body) => (body.to_vec(), length, false),
-            None if ended => return Parsed::Bad(400),
-            None => return Parsed::Partial { expects: false },
+            None if ended => return Parsed::Invalid(400),
+            None => return Parsed::Partial { expects_continue: false },
         }
-    } else if rest.len() > most {
-        return Parsed::Bad(400);
+    } else if rest.len() > max_body {
+        return Parsed::Invalid(400);
     } else if ended {
         (rest.to_vec(), rest.len(), true)
     } else {
-        return Parsed::Partial { expects: false };
+        return Parsed::Partial { expects_continue: false };
     };
     close |= headers.has("connection", "close");
-    Parsed::Whole(Answer { status, headers, body, close }, used)
+    Parsed::Complete(Response { status, headers, body, close }, used)
 }
 
 /// A chunked body, and how many bytes it took; `None` while it is not whole.
-fn chunks(input: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, ()> {
+fn parse_chunks(input: &[u8], max_body: usize) -> Result<Option<(Vec<u8>, usize)>, ()> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let Some(end) = input[at..].windows(2).position(|two| two == b"\r\n") else {
@@ -288,7 +294,7 @@
         };
         let line = std::str::from_utf8(&input[at..at + end]).map_err(|_| ())?;
         let size = usize::from_str_radix(line.split(';').next().unwrap_or("").trim(), 16).map_err(|_| ())?;
-        if body.len().saturating_add(size) > most {
+        if body.len().saturating_add(size) > max_body {
             return Err(());
         }
         at += end + 2;
@@ -305,8 +311,8 @@
 }
 
 /// Writes an answer.
-pub fn write_answer(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+pub fn write_response(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
+    let mut out = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         out.push_str(&format!("{name}: {value}\r\n"));
     }
@@ -327,7 +333,7 @@
     out
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -4,20 +4,25 @@
 fn every_cut_of_a_message_is_partial() {
     let whole = b"POST /api HTTP/1.1\r\nRequest-Id: a\r\nContent-Length: 3\r\n\r\nabc";
     for cut in 0..whole.len() {
-        assert_eq!(request(&whole[..cut]), Parsed::Partial { expects: false }, "cut at {cut}");
+        assert_eq!(parse_request(&whole[..cut]), Parsed::Partial { expects_continue: false }, "cut at {cut}");
     }
-    assert!(matches!(request(whole), Parsed::Whole(_, used) if used == whole.len()));
+    assert!(matches!(parse_request(whole), Parsed::Complete(_, used) if used == whole.len()));
     let whole = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n";
     for cut in 0..whole.len() {
-        assert_eq!(answer(&whole[..cut], false, 3), Parsed::Partial { expects: false }, "cut at {cut}");
-        assert_eq!(answer(&whole[..cut], true, 3), Parsed::Bad(400), "ended at {cut}");
+        assert_eq!(
+            parse_response(&whole[..cut], false, 3),
+            Parsed::Partial { expects_continue: false },
+            "cut at {cut}"
+        );
+        assert_eq!(parse_response(&whole[..cut], true, 3), Parsed::Invalid(400), "ended at {cut}");
     }
-    assert!(matches!(answer(whole, false, 3), Parsed::Whole(answer, _) if answer.body == b"abc"));
+    assert!(matches!(parse_response(whole, false, 3), Parsed::Complete(answer, _) if answer.body == b"abc"));
 }
 
 #[test]
 fn what_could_be_read_in_two_ways_is_refused() {
-    let bad = |text: &str, status| assert_eq!(request(text.as_bytes()), Parsed::Bad(status), "{text}");
+    let bad =
+        |text: &str, status| assert_eq!(parse_request(text.as_bytes()), Parsed::Invalid(status), "{text}");
     bad("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", 400);
     bad("POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", 400);
     bad("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 400);
@@ -32,17 +37,17 @@
 #[test]
 fn interim_answers_are_skipped_and_the_first_line_is_told_early() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
-    assert!(matches!(answer(text, false, 0), Parsed::Whole(answer, 49..) if answer.status == 204));
-    assert_eq!(first_line(text), Some(204));
-    assert_eq!(first_line(b"HTTP/1.1 200 OK\r\nContent-Le"), Some(200));
-    assert_eq!(first_line(b"HTTP/1.1 200"), None);
-    assert_eq!(first_line(b"HTTP/1.1 2000 OK\r\n"), None);
+    assert!(matches!(parse_response(text, false, 0), Parsed::Complete(answer, 49..) if answer.status == 204));
+    assert_eq!(response_status(text), Some(204));
+    assert_eq!(response_status(b"HTTP/1.1 200 OK\r\nContent-Le"), Some(200));
+    assert_eq!(response_status(b"HTTP/1.1 200"), None);
+    assert_eq!(response_status(b"HTTP/1.1 2000 OK\r\n"), None);
 }
 
 /// Each of these once was waited for to the end of the call's time, or read without a bound.
 #[test]
 fn a_spoilt_answer_is_known_at_once() {
-    let bad = |bytes: &[u8]| assert_eq!(answer(bytes, false, 8), Parsed::Bad(400), "{bytes:?}");
+    let bad = |bytes: &[u8]| assert_eq!(parse_response(bytes, false, 8), Parsed::Invalid(400), "{bytes:?}");
     bad(b"\x00\xffnoise");
     bad(b"HTTP/2");
     bad(b"HTTP/1.1 100 Continue\r\n\r\nnoise");
--- a/src/net/list/dns_sd.rs
+++ b/src/net/list/dns_sd.rs
@@ -1,9 +1,9 @@
-//! Service entries from DNS-SD records (RFC 6763), asked over TCP from a configured resolver: PTR names the
+//! Service entries from DNS-SD records (RFC 6763), pending over TCP from a configured resolver: PTR names the
 //! instances, SRV and TXT tell where each is and what it is. A failed lookup keeps the last list.
 //!
 //! TXT keys: `cell` (the destination's number, needed), `kind`, `zone`, and `state=draining`.
 
-use super::{endpoint_id, Entry, Names, News};
+use super::{endpoint_id, ListEntry, ListUpdate, Names};
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::Stream;
 use crate::{DestinationId, EndpointRecord, Lifecycle, Micros};
@@ -16,14 +16,14 @@
 const AAAA: u16 = 28;
 const SRV: u16 = 33;
 /// A lookup takes no longer.
-const PATIENCE: Micros = Micros(3_000_000);
+const LOOKUP_TIMEOUT: Micros = Micros(3_000_000);
 /// After a failure.
-const PAUSE: Micros = Micros(5_000_000);
-/// Records are asked for again when the first of them runs out, within these bounds.
-const SOONEST: u32 = 1;
-const LATEST: u32 = 300;
+const FAILURE_BACKOFF: Micros = Micros(5_000_000);
+/// Records are pending for again when the first of them runs out, within these bounds.
+const MIN_TTL_SECONDS: u32 = 1;
+const MAX_TTL_SECONDS: u32 = 300;
 /// Instances of the service at most.
-const MOST: usize = 256;
+const MAX_INSTANCES: usize = 256;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Data {
@@ -48,12 +48,12 @@
     stream: Option<Stream>,
     token: u64,
     /// Questions that are out, by their number.
-    asked: BTreeMap<u16, (String, u16)>,
-    done: BTreeSet<(String, u16)>,
+    pending: BTreeMap<u16, (String, u16)>,
+    answered: BTreeSet<(String, u16)>,
     records: Vec<Record>,
-    until: Option<Micros>,
-    next_at: Micros,
-    current: Vec<Entry>,
+    deadline: Option<Micros>,
+    next_lookup_at: Micros,
+    current: Vec<ListEntry>,
 }
 
 impl DnsSd {
@@ -65,59 +65,59 @@
             names,
             stream: None,
             token: 0,
-            asked: BTreeMap::new(),
-            done: BTreeSet::new(),
+            pending: BTreeMap::new(),
+            answered: BTreeSet::new(),
             records: Vec::new(),
-            until: None,
-            next_at: Micros(0),
+            deadline: None,
+            next_lookup_at: Micros(0),
             current: Vec::new(),
         }
     }
 
     /// Goes on with what another lookup had found: what the next one does not find is told as gone.
-    pub fn follow(&mut self, other: DnsSd) {
+    pub fn take_over(&mut self, other: DnsSd) {
         self.current = other.current;
     }
 
     /// The same with what another process had found.
-    pub fn follow_up(&mut self, found: Vec<Entry>) {
+    pub fn set_current(&mut self, found: Vec<ListEntry>) {
         self.current = found;
     }
 
     /// All that was found goes.
-    pub fn gone(self) -> News {
+    pub fn into_removed(self) -> ListUpdate {
         let mut entries = self.current;
-        entries.iter_mut().for_each(|entry| entry.member.lifecycle = Lifecycle::Gone);
-        News { generation: 0, whole: false, entries }
+        entries.iter_mut().for_each(|entry| entry.record.lifecycle = Lifecycle::Gone);
+        ListUpdate { generation: 0, whole: false, entries }
     }
 
     /// The entries as last found.
-    pub fn current(&self) -> &[Entry] {
+    pub fn current(&self) -> &[ListEntry] {
         &self.current
     }
 
     /// Starts a lookup when the last one's records run out; ends one that takes too long.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
-        if self.until.is_some_and(|until| until <= now) {
+        if self.deadline.is_some_and(|deadline| deadline <= now) {
             self.fail(now, "no answer");
         }
-        if self.until.is_some() || self.next_at > now {
+        if self.deadline.is_some() || self.next_lookup_at > now {
             return;
         }
-        self.until = Some(now.plus(PATIENCE));
+        self.deadline = Some(now.plus(LOOKUP_TIMEOUT));
         self.token = poll.token(Peer::Resolver);
         self.stream = Stream::connect(poll, self.token, self.resolver).ok();
         let service = self.service.clone();
-        self.ask(poll, &[(service, PTR)], now);
+        self.send_questions(poll, &[(service, PTR)], now);
     }
 
     /// When [`DnsSd::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        self.until.or(Some(self.next_at))
+        self.deadline.or(Some(self.next_lookup_at))
     }
 
     /// The resolver's connection is ready: what has changed, once a lookup is whole.
-    pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<News> {
+    pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<ListUpdate> {
         let stream = self.stream.as_mut().filter(|_| token == self.token)?;
         let over = stream.ready(poll).is_err() || stream.ended;
         while let Some(message) = next_message(&mut stream.input) {
@@ -125,20 +125,20 @@
                 self.fail(now, "an answer that is an error or cannot be read");
                 return None;
             };
-            if let Some(question) = self.asked.remove(&id) {
-                self.done.insert(question);
+            if let Some(question) = self.pending.remove(&id) {
+                self.answered.insert(question);
                 self.records.extend(records);
             }
         }
-        if !self.asked.is_empty() {
+        if !self.pending.is_empty() {
             if over {
                 self.fail(now, "the connection ended");
             }
             return None;
         }
-        let more = self.missing();
+        let more = self.open_questions();
         if !more.is_empty() && !over {
-            self.ask(poll, &more, now);
+            self.send_questions(poll, &more, now);
             return None;
         }
         if !more.is_empty() {
@@ -148,14 +148,14 @@
         Some(self.finish(now))
     }
 
-    fn ask(&mut self, poll: &Poll, questions: &[(String, u16)], now: Micros) {
+    fn send_questions(&mut self, poll: &Poll, questions: &[(String, u16)], now: Micros) {
         let mut out = Vec::new();
         for (name, kind) in questions {
-            let id = (self.done.len() + self.asked.len() + 1) as u16;
-            let message = question(id, name, *kind);
+            let id = (self.answered.len() + self.pending.len() + 1) as u16;
+            let message = write_question(id, name, *kind);
             out.extend((message.len() as u16).to_be_bytes());
             out.extend(message);
-            self.asked.insert(id, (name.clone(), *kind));
+            self.pending.insert(id, (name.clone(), *kind));
         }
         let sent = self.stream.as_mut().map(|stream| stream.send(poll, &out));
         if !matches!(sent, Some(Ok(()))) {
@@ -166,17 +166,17 @@
     fn fail(&mut self, now: Micros, why: &str) {
         log!("dns-sd: lookup of {} failed, the last list stays: {why}", self.service);
         self.reset();
-        self.next_at = now.plus(PAUSE);
+        self.next_lookup_at = now.plus(FAILURE_BACKOFF);
     }
 
     fn reset(&mut self) {
-        (self.stream, self.until) = (None, None);
-        self.asked.clear();
-        self.done.clear();
+        (self.stream, self.deadline) = (None, None);
+        self.pending.clear();
+        self.answered.clear();
         self.records.clear();
     }
 
-    fn instances(&self) -> Vec<String> {
+    fn instance_names(&self) -> Vec<String> {
         let of = |record: &Record| match &record.data {
             // A record with no time to live is a goodbye.
             Data::Pointer(instance) if record.name == self.service && record.ttl > 0 => {
@@ -185,7 +185,7 @@
             _ => None,
         };
         let names: BTreeSet<String> = self.records.iter().filter_map(of).collect();
-        names.into_iter().take(MOST).collect()
+        names.into_iter().take(MAX_INSTANCES).collect()
     }
 
     fn find<'a, T>(&'a self, name: &str, pick: impl Fn(&'a Data) -> Option<T>) -> Option<T> {
@@ -208,10 +208,10 @@
         self.find(host, |data| if let Data::Address(address) = data { Some(*address) } else { None })
     }
 
-    /// What is still to be asked: additional records of earlier answers spare a question.
-    fn missing(&self) -> Vec<(String, u16)> {
+    /// What is still to be pending: additional records of earlier answers spare a question.
+    fn open_questions(&self) -> Vec<(String, u16)> {
         let mut wanted = BTreeSet::new();
-        for instance in self.instances() {
+        for instance in self.instance_names() {
             if self.text_of(&instance).is_none() {
                 wanted.insert((instance.clone(), TXT));
             }
@@ -225,42 +225,43 @@
                 Some(_) => {}
             }
         }
-        wanted.retain(|question| !self.done.contains(question));
+        wanted.retain(|question| !self.answered.contains(question));
         wanted.into_iter().collect()
     }
 
     /// A whole lookup: the entries, and as news what they change.
-    fn finish(&mut self, now: Micros) -> News {
-        let found: Vec<Entry> = self.instances().iter().filter_map(|instance| self.entry(instance)).collect();
-        let lives = self.records.iter().map(|record| record.ttl).min().unwrap_or(SOONEST);
-        let lives = lives.clamp(SOONEST, LATEST);
+    fn finish(&mut self, now: Micros) -> ListUpdate {
+        let found: Vec<ListEntry> =
+            self.instance_names().iter().filter_map(|instance| self.entry(instance)).collect();
+        let ttl = self.records.iter().map(|record| record.ttl).min().unwrap_or(MIN_TTL_SECONDS);
+        let ttl = ttl.clamp(MIN_TTL_SECONDS, MAX_TTL_SECONDS);
         self.reset();
-        self.next_at = now.plus(Micros(u64::from(lives) * 1_000_000));
+        self.next_lookup_at = now.plus(Micros(u64::from(ttl) * 1_000_000));
         let gone = self.current.iter().filter(|known| found.iter().all(|one| one.name != known.name));
-        let mut entries: Vec<Entry> = gone.cloned().collect();
-        entries.iter_mut().for_each(|entry| entry.member.lifecycle = Lifecycle::Gone);
+        let mut entries: Vec<ListEntry> = gone.cloned().collect();
+        entries.iter_mut().for_each(|entry| entry.record.lifecycle = Lifecycle::Gone);
         entries.extend(found.iter().filter(|one| !self.current.contains(one)).cloned());
         self.current = found;
-        News { generation: 0, whole: false, entries }
+        ListUpdate { generation: 0, whole: false, entries }
     }
 
-    fn entry(&self, instance: &str) -> Option<Entry> {
+    fn entry(&self, instance: &str) -> Option<ListEntry> {
         let (host, port) = self.service_of(instance)?;
         let (address, text) = (self.address_of(host)?, self.text_of(instance)?);
         let get = |key: &str| text.get(key).map_or("", String::as_str);
-        let place = |known: &[String], name: &str| {
+        let index_of = |known: &[String], name: &str| {
             known.iter().position(|one| one.eq_ignore_ascii_case(name)).unwrap_or(known.len())
         };
         let draining = get("state").eq_ignore_ascii_case("draining");
-        let member = EndpointRecord {
+        let record = EndpointRecord {
             endpoint: endpoint_id(instance),
             destination: DestinationId(get("cell").parse().ok()?),
-            zone: place(&self.names.zones, get("zone")) as u32,
-            kind: place(&self.names.kinds, get("kind")),
+            zone: index_of(&self.names.zones, get("zone")) as u32,
+            kind: index_of(&self.names.kinds, get("kind")),
             lifecycle: if draining { Lifecycle::Draining } else { Lifecycle::Ready },
             weight: 1.0,
         };
-        Some(Entry { name: instance.to_owned(), member, address: Some(SocketAddr::new(address, port)) })
+        Some(ListEntry { name: instance.to_owned(), record, address: Some(SocketAddr::new(address, port)) })
     }
 }
 
@@ -272,11 +273,11 @@
     Some(message)
 }
 
-fn question(id: u16, name: &str, kind: u16) -> Vec<u8> {
+fn write_question(id: u16, name: &str, kind: u16) -> Vec<u8> {
     let mut out = id.to_be_bytes().to_vec();
     // Recursion desired; one question.
     out.extend([1, 0, 0, 1, 0, 0, 0, 0, 0, 0]);
-    for label in labels(name) {
+    for label in split_labels(name) {
         out.push(label.len().min(63) as u8);
         out.extend(&label.as_bytes()[..label.len().min(63)]);
     }
@@ -287,7 +288,7 @@
 }
 
 /// Labels of a name as text, where a dot within a label stands behind a backslash.
-fn labels(name: &str) -> Vec<String> {
+fn split_labels(name: &str) -> Vec<String> {
     let (mut labels, mut label, mut escaped) = (Vec::new(), String::new(), false);
     for letter in name.chars() {
         match letter {
@@ -306,35 +307,35 @@
 /// The number of an answer and its records; `None` for an error, or where it cannot be read.
 fn read_message(message: &[u8]) -> Option<(u16, Vec<Record>)> {
     let mut at = 0;
-    let id = short(message, &mut at)?;
-    let flags = short(message, &mut at)?;
+    let id = read_u16(message, &mut at)?;
+    let flags = read_u16(message, &mut at)?;
     let is_answer = flags & 0x8000 != 0;
     let (truncated, error) = (flags & 0x0200 != 0, flags & 0x000F != 0);
     if !is_answer || truncated || error {
         return None;
     }
-    let questions = short(message, &mut at)?;
-    let records = (0..3).map(|_| short(message, &mut at)).sum::<Option<u16>>()?;
+    let questions = read_u16(message, &mut at)?;
+    let records = (0..3).map(|_| read_u16(message, &mut at)).sum::<Option<u16>>()?;
     for _ in 0..questions {
-        name(message, &mut at)?;
+        read_name(message, &mut at)?;
         at += 4;
     }
     let mut found = Vec::new();
     for _ in 0..records {
-        let owner = name(message, &mut at)?;
-        let (kind, class) = (short(message, &mut at)?, short(message, &mut at)?);
-        let ttl = u32::from(short(message, &mut at)?) << 16 | u32::from(short(message, &mut at)?);
-        let length = usize::from(short(message, &mut at)?);
+        let owner = read_name(message, &mut at)?;
+        let (kind, class) = (read_u16(message, &mut at)?, read_u16(message, &mut at)?);
+        let ttl = u32::from(read_u16(message, &mut at)?) << 16 | u32::from(read_u16(message, &mut at)?);
+        let length = usize::from(read_u16(message, &mut at)?);
         let end = at + length;
         let bytes = message.get(at..end)?;
         let data = match kind {
-            PTR => Some(Data::Pointer(name(message, &mut at)?)),
+            PTR => Some(Data::Pointer(read_name(message, &mut at)?)),
             SRV => {
                 at += 4; // priority and weight
-                let port = short(message, &mut at)?;
-                Some(Data::Service(name(message, &mut at)?, port))
+                let port = read_u16(message, &mut at)?;
+                Some(Data::Service(read_name(message, &mut at)?, port))
             }
-            TXT => Some(Data::Text(pairs(bytes)?)),
+            TXT => Some(Data::Text(parse_text(bytes)?)),
             A => Some(Data::Address(IpAddr::V4(Ipv4Addr::from(<[u8; 4]>::try_from(bytes).ok()?)))),
             AAAA => Some(Data::Address(IpAddr::V6(Ipv6Addr::from(<[u8; 16]>::try_from(bytes).ok()?)))),
             _ => None,
@@ -345,14 +346,14 @@
     Some((id, found))
 }
 
-fn short(message: &[u8], at: &mut usize) -> Option<u16> {
+fn read_u16(message: &[u8], at: &mut usize) -> Option<u16> {
     let bytes = message.get(*at..*at + 2)?;
     *at += 2;
     Some(u16::from_be_bytes([bytes[0], bytes[1]]))
 }
 
 /// A name, in lower case; pointers are followed backwards only, so that no message can make a loop.
-fn name(message: &[u8], at: &mut usize) -> Option<String> {
+fn read_name(message: &[u8], at: &mut usize) -> Option<String> {
     let (mut text, mut from, mut jumped) = (String::new(), *at, false);
     loop {
         let length = usize::from(*message.get(from)?);
@@ -388,7 +389,7 @@
 }
 
 /// `key=value` strings of a TXT record; the first of a key counts, and keys have no case.
-fn pairs(mut bytes: &[u8]) -> Option<BTreeMap<String, String>> {
+fn parse_text(mut bytes: &[u8]) -> Option<BTreeMap<String, String>> {
     let mut pairs = BTreeMap::new();
     while let Some((&length, rest)) = bytes.split_first() {
         let (text, rest) = rest.split_at_checked(length.into())?;
--- a/src/net/list/dns_sd/tests.rs
+++ b/src/net/list/dns_sd/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_dot_within_a_label_survives() {
-    let asked = question(1, "play\\.count._x._tcp.example", PTR);
+    let asked = write_question(1, "play\\.count._x._tcp.example", PTR);
     let mut at = 12;
-    assert_eq!(name(&asked, &mut at).unwrap(), "play\\.count._x._tcp.example");
+    assert_eq!(read_name(&asked, &mut at).unwrap(), "play\\.count._x._tcp.example");
 }
--- a/src/net/list/mod.rs
+++ b/src/net/list/mod.rs
@@ -14,41 +14,42 @@
 
 /// One service entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ListEntry {
     /// Its name.
     pub name: String,
     /// What the module sees of it.
-    pub member: EndpointRecord,
+    #[serde(rename = "member")]
+    pub record: EndpointRecord,
     /// Where it listens; absent in the news that it is gone.
     pub address: Option<SocketAddr>,
 }
 
-/// News of the list.
+/// ListUpdate of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct ListUpdate {
     /// Its version.
     pub generation: u64,
     /// The whole list, not changes.
     pub whole: bool,
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
 }
 
 /// The list as it is held: what the news so far add up to.
 #[derive(Debug, Default)]
-pub struct Book(pub BTreeMap<EndpointId, Entry>);
+pub struct EndpointList(pub BTreeMap<EndpointId, ListEntry>);
 
-impl Book {
+impl EndpointList {
     /// Takes news in; of a whole list, who is missing is gone.
-    pub fn learn(&mut self, news: &News) {
-        if news.whole {
+    pub fn apply(&mut self, update: &ListUpdate) {
+        if update.whole {
             self.0.clear();
         }
-        for entry in &news.entries {
-            if entry.member.lifecycle == Lifecycle::Gone {
-                self.0.remove(&entry.member.endpoint);
+        for entry in &update.entries {
+            if entry.record.lifecycle == Lifecycle::Gone {
+                self.0.remove(&entry.record.endpoint);
             } else {
-                self.0.insert(entry.member.endpoint, entry.clone());
+                self.0.insert(entry.record.endpoint, entry.clone());
             }
         }
     }
@@ -65,12 +66,12 @@
 
 impl Names {
     /// Where kinds and zones that stood in another order stand here; what is unknown here stands behind all.
-    pub fn places(&self, before: &Names) -> crate::IndexMapping {
-        let place =
+    pub fn index_mapping(&self, before: &Names) -> crate::IndexMapping {
+        let index_of =
             |here: &[String], name: &String| here.iter().position(|one| one == name).unwrap_or(here.len());
         crate::IndexMapping {
-            kinds: before.kinds.iter().map(|name| place(&self.kinds, name)).collect(),
-            zones: before.zones.iter().map(|name| place(&self.zones, name)).collect(),
+            kinds: before.kinds.iter().map(|name| index_of(&self.kinds, name)).collect(),
+            zones: before.zones.iter().map(|name| index_of(&self.zones, name)).collect(),
         }
     }
 }
@@ -84,27 +85,27 @@
 }
 
 /// Reads discovery's form. An entry that cannot be read is left out; a list that cannot be read is an error.
-pub fn read(value: &BorrowedValue, names: &Names) -> Option<News> {
+pub fn read(value: &BorrowedValue, names: &Names) -> Option<ListUpdate> {
     let generation = value.get_u64("generation")?;
     let whole = value.get_bool("reset").unwrap_or(false);
-    let entries = value.get_array("instances")?.iter().filter_map(|one| entry(one, names)).collect();
-    Some(News { generation, whole, entries })
+    let entries = value.get_array("instances")?.iter().filter_map(|one| parse_entry(one, names)).collect();
+    Some(ListUpdate { generation, whole, entries })
 }
 
 /// Writes a whole list in discovery's form; [`read`] reads it back.
-pub fn write<'a>(generation: u64, entries: impl Iterator<Item = &'a Entry>, names: &Names) -> Vec<u8> {
-    let name = |known: &[String], place: usize| known.get(place).cloned().unwrap_or_default();
+pub fn write<'a>(generation: u64, entries: impl Iterator<Item = &'a ListEntry>, names: &Names) -> Vec<u8> {
+    let name = |known: &[String], index: usize| known.get(index).cloned().unwrap_or_default();
     let instances: Vec<serde_json::Value> = entries
-        .map(|Entry { name: id, member, address }| {
-            let lifecycle = match member.lifecycle {
+        .map(|ListEntry { name: id, record, address }| {
+            let lifecycle = match record.lifecycle {
                 Lifecycle::Ready => "up",
                 Lifecycle::Draining => "draining",
                 Lifecycle::Gone => "gone",
             };
             serde_json::json!({
                 "instanceId": id, "hostPort": address.map(|address| address.to_string()),
-                "zone": name(&names.zones, member.zone as usize), "machineType": name(&names.kinds, member.kind),
-                "cell": member.destination.0, "lifecycle": lifecycle, "weight": member.weight,
+                "zone": name(&names.zones, record.zone as usize), "machineType": name(&names.kinds, record.kind),
+                "cell": record.destination.0, "lifecycle": lifecycle, "weight": record.weight,
             })
         })
         .collect();
@@ -113,13 +114,13 @@
         .into_bytes()
 }
 
-fn entry(value: &BorrowedValue, names: &Names) -> Option<Entry> {
+fn parse_entry(value: &BorrowedValue, names: &Names) -> Option<ListEntry> {
     let lifecycle = match value.get_str("lifecycle")? {
         "up" => Lifecycle::Ready,
         "draining" => Lifecycle::Draining,
         _ => Lifecycle::Gone,
     };
-    let place = |known: &[String], key: &str| {
+    let index_of = |known: &[String], key: &str| {
         let name = value.get_str(key).unwrap_or_default();
         known.iter().position(|one| one == name).unwrap_or(known.len())
     };
@@ -128,13 +129,13 @@
         return None;
     }
     let name = value.get_str("instanceId")?.to_owned();
-    let member = EndpointRecord {
+    let record = EndpointRecord {
         endpoint: endpoint_id(&name),
         destination: DestinationId(value.get_u64("cell").unwrap_or(u64::MAX)),
-        zone: place(&names.zones, "zone") as u32,
-        kind: place(&names.kinds, "machineType"),
+        zone: index_of(&names.zones, "zone") as u32,
+        kind: index_of(&names.kinds, "machineType"),
         lifecycle,
         weight: value.get("weight").and_then(|weight| weight.cast_f64()).unwrap_or(0.0),
     };
-    Some(Entry { name, member, address })
+    Some(ListEntry { name, record, address })
 }
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,4 +1,4 @@
-//! Lines for those on call, on standard error, at most so many a second from each place in the code. They go through
+//! LineFormat for those on call, on standard error, at most so many a second from each place in the code. They go through
 //! `tracing`; the least severe level and the form, text or JSON, can be changed while the process runs.
 
 use crate::config::document::{Form, Level};
@@ -12,33 +12,33 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::Layer;
 
-/// Lines that one place may write within a second.
-const PER_SECOND: u64 = 10;
+/// LineFormat that one place may write within a second.
+const MAX_LINES_PER_SECOND: u64 = 10;
 
 static JSON: AtomicBool = AtomicBool::new(false);
 /// The least severe level: 1 for errors to 4 for each step.
 static LEVEL: AtomicU8 = AtomicU8::new(3);
 
 /// Counts the lines of one place in the code.
-pub struct Place {
+pub struct LineLimiter {
     second: AtomicU64,
     lines: AtomicU64,
     dropped: AtomicU64,
 }
 
-impl Place {
+impl LineLimiter {
     /// Nothing written yet.
     #[allow(clippy::new_without_default)]
-    pub const fn new() -> Place {
-        Place { second: AtomicU64::new(0), lines: AtomicU64::new(0), dropped: AtomicU64::new(0) }
+    pub const fn new() -> LineLimiter {
+        LineLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0), dropped: AtomicU64::new(0) }
     }
 
     /// Whether a line may be written in this second and, if so, how many were left out before it.
-    pub fn pass(&self, second: u64) -> Option<u64> {
+    pub fn admit(&self, second: u64) -> Option<u64> {
         if self.second.swap(second, Relaxed) != second {
             self.lines.store(0, Relaxed);
         }
-        if self.lines.fetch_add(1, Relaxed) < PER_SECOND {
+        if self.lines.fetch_add(1, Relaxed) < MAX_LINES_PER_SECOND {
             return Some(self.dropped.swap(0, Relaxed));
         }
         self.dropped.fetch_add(1, Relaxed);
@@ -47,7 +47,7 @@
 }
 
 /// Whole seconds of Unix time.
-pub fn second() -> u64 {
+pub fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
 
@@ -55,8 +55,8 @@
 #[macro_export]
 macro_rules! log {
     ($($part:tt)*) => {{
-        static PLACE: $crate::net::log::Place = $crate::net::log::Place::new();
-        match PLACE.pass($crate::net::log::second()) {
+        static LIMITER: $crate::net::log::LineLimiter = $crate::net::log::LineLimiter::new();
+        match LIMITER.admit($crate::net::log::unix_seconds()) {
             Some(0) => tracing::info!($($part)*),
             Some(dropped) => tracing::info!(left_out = dropped, $($part)*),
             None => {}
@@ -70,8 +70,8 @@
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .fmt_fields(JsonFields::new())
-        .event_format(Lines { json: Format::default().json() })
-        .with_filter(AtLeast);
+        .event_format(LineFormat { json: Format::default().json() })
+        .with_filter(LevelFilter);
     // A second start, as in a test, changes nothing.
     let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(lines));
 }
@@ -88,9 +88,9 @@
     JSON.store(form == Form::Json, Relaxed);
 }
 
-struct AtLeast;
+struct LevelFilter;
 
-impl<S: Subscriber> Filter<S> for AtLeast {
+impl<S: Subscriber> Filter<S> for LevelFilter {
     fn enabled(&self, of: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         let severity = match *of.level() {
             tracing::Level::ERROR => 1,
@@ -107,11 +107,11 @@
     }
 }
 
-struct Lines {
+struct LineFormat {
     json: Format<Json>,
 }
 
-impl<S: Subscriber + for<'a> LookupSpan<'a>> FormatEvent<S, JsonFields> for Lines {
+impl<S: Subscriber + for<'a> LookupSpan<'a>> FormatEvent<S, JsonFields> for LineFormat {
     fn format_event(
         &self,
         context: &FmtContext<'_, S, JsonFields>,
@@ -126,16 +126,16 @@
         }
         // For people, fields follow the message as text.
         let mut writer = writer;
-        let mut line = Text(String::new());
+        let mut line = MessageText(String::new());
         event.record(&mut line);
         let level = event.metadata().level();
         writeln!(writer, "{level:>5} {}", line.0)
     }
 }
 
-struct Text(String);
+struct MessageText(String);
 
-impl tracing::field::Visit for Text {
+impl tracing::field::Visit for MessageText {
     fn record_debug(&mut self, field: &tracing::field::Field, value: &dyn fmt::Debug) {
         use fmt::Write;
         let _ = match field.name() {
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -14,15 +14,15 @@
 use super::config::Config;
 use super::handover::{Follower, Seat};
 use super::list::dns_sd::DnsSd;
-use super::list::watch::Watch;
-use super::list::{Book, Entry};
+use super::list::watch::DiscoveryWatch;
+use super::list::{EndpointList, ListEntry};
 use super::members::Members;
 use super::ops::Ops;
 use super::poll::{Clock, Peer, Poll, Ready};
-use super::reports::Reports;
-use super::servers::amqp::Brokers;
-use super::servers::http::{Outgoing, Servers};
-use super::signals::{heard, Signals};
+use super::reports::DeliveryReports;
+use super::servers::amqp::BrokerConnections;
+use super::servers::http::{EndpointConnections, Outgoing};
+use super::signals::{drain, Signals};
 use super::upgrade::{self};
 use crate::config::desk::ChangeService;
 use crate::config::store::Store;
@@ -54,19 +54,19 @@
     pub engine: Engine,
     pub platform: Platform,
     pub publishers: Option<Front>,
-    pub servers: Servers,
-    pub brokers: Brokers,
+    pub servers: EndpointConnections,
+    pub brokers: BrokerConnections,
     /// Service entries of the operators' file; they stand beside every whole list.
-    pub(super) own: Vec<Entry>,
-    pub(super) book: Book,
+    pub(super) own: Vec<ListEntry>,
+    pub(super) endpoint_list: EndpointList,
     pub admin: Option<Admin>,
     pub dns_sd: Option<DnsSd>,
     /// The other forwarders of the fleet; none while the operators' file has no `membership`.
     pub members: Option<Members>,
     /// For random numbers.
     pub(super) seed: u64,
-    pub watch: Watch,
-    pub reports: Reports,
+    pub watch: DiscoveryWatch,
+    pub reports: DeliveryReports,
     pub(super) signals: Signals,
     pub change_service: ChangeService,
     /// Where versions are kept; nowhere where nobody gave an operators' file.
@@ -157,7 +157,7 @@
             let divisor = members.tick(now);
             self.engine.shared_by(Some(divisor));
             self.engine.starts_among(members.among().starting);
-            self.watch.wanted = members.may_ask(now);
+            self.watch.enabled = members.may_ask(now);
             if members.confirmed(now) {
                 self.life.confirmed();
             }
@@ -204,20 +204,20 @@
     fn gather(&mut self, Ready { peer, token }: Ready, now: Micros) {
         match peer {
             Peer::Stop => {
-                heard(&self.signals.stop);
+                drain(&self.signals.stop);
                 log!("told to stop");
                 self.life.stop(now);
                 self.live(now);
                 self.members.iter_mut().for_each(Members::leave);
             }
             Peer::Reload => {
-                heard(&self.signals.reload);
+                drain(&self.signals.reload);
                 self.begin_reload(now);
             }
-            Peer::Listener => self.platform.accept(&mut self.poll, now),
-            Peer::Edge => self.platform.ready(&self.poll, token, now, &mut self.inputs),
-            Peer::Server => self.servers.ready(&self.poll, token, now, &mut self.inputs),
-            Peer::Watch => {
+            Peer::ClientListener => self.platform.accept(&mut self.poll, now),
+            Peer::Client => self.platform.ready(&self.poll, token, now, &mut self.inputs),
+            Peer::Endpoint => self.servers.ready(&self.poll, token, now, &mut self.inputs),
+            Peer::Discovery => {
                 if let Some(mut news) = self.watch.ready(&mut self.poll, token, now) {
                     let (generation, whole, none) = (news.generation, news.whole, news.entries.is_empty());
                     if news.whole {
@@ -261,8 +261,8 @@
                     members.ready(now);
                 }
             }
-            Peer::Door => self.meet_follower(now),
-            Peer::Follower => self.hear_follower(now),
+            Peer::UpgradeListener => self.meet_follower(now),
+            Peer::Successor => self.hear_follower(now),
             Peer::Resolver => {
                 let news = self.dns_sd.as_mut().and_then(|dns| dns.ready(&self.poll, token, now));
                 if let Some(news) = news {
@@ -286,16 +286,16 @@
             self.ramp = None;
             return;
         }
-        let destinations = self.book.0.values().map(|entry| entry.member.destination);
+        let destinations = self.endpoint_list.0.values().map(|entry| entry.record.destination);
         let waits: BTreeMap<_, _> = ramp.waits(now, members.among(), destinations).into_iter().collect();
         if waits.is_empty() {
             return;
         }
-        let told = |entry: &Entry| {
-            let until = waits.get(&entry.member.destination)?;
-            Some(Input::HoldBack(entry.member.endpoint, until.minus(now)))
+        let told = |entry: &ListEntry| {
+            let until = waits.get(&entry.record.destination)?;
+            Some(Input::HoldBack(entry.record.endpoint, until.minus(now)))
         };
-        self.inputs.extend(self.book.0.values().filter_map(told));
+        self.inputs.extend(self.endpoint_list.0.values().filter_map(told));
     }
 
     /// What the stage of the process's life asks for, in force from now on.
@@ -322,14 +322,14 @@
                 self.brokers.call(&mut self.poll, now, (call, endpoint), items, &mut self.inputs);
             }
             Output::Call { call, endpoint, wait, leaves_by, items } => {
-                let order = Outgoing { call, endpoint, wait, leaves_by };
+                let order = Outgoing { call, endpoint, wait, send_deadline: leaves_by };
                 self.servers.call(&mut self.poll, now, order, &items, &mut self.inputs);
             }
             Output::Abort(call) => {
                 self.servers.abort(call);
                 self.brokers.abort(&self.poll, call);
             }
-            Output::Tell { flow, front: PLATFORM, id, end, .. } => self.reports.tell(flow, &id, end),
+            Output::Tell { flow, front: PLATFORM, id, end, .. } => self.reports.add(flow, &id, end),
             // While the front is off, its ends stay owed.
             Output::Tell { flow, tenant, id, origin, end, .. } => {
                 if let Some(front) = &mut self.publishers {
--- a/src/net/node/operations.rs
+++ b/src/net/node/operations.rs
@@ -97,7 +97,7 @@
             "results": serde_json::Value::Object(results.collect()),
             "forwards": forwards,
             "outstanding": self.engine.outstanding(),
-            "discovered": self.book.0.len(),
+            "discovered": self.endpoint_list.0.len(),
             "ejected": self.engine.avoided(),
             "stage": self.life.stage().word(),
         });
@@ -119,7 +119,12 @@
     /// A connection of the administration is ready, or its change has its answer.
     pub(in crate::net) fn administer(&mut self, token: u64, now: Micros, told: Option<admin::Answer>) {
         let Some(admin) = &mut self.admin else { return };
-        let view = View { engine: &self.engine, book: &self.book, change_service: &self.change_service, now };
+        let view = View {
+            engine: &self.engine,
+            book: &self.endpoint_list,
+            change_service: &self.change_service,
+            now,
+        };
         let waiting = self.asks.len();
         match told {
             None => admin.ready(&self.poll, token, view, &mut self.inputs, &mut self.asks, waiting),
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -14,14 +14,14 @@
 use crate::net::config::Config;
 use crate::net::handover::{Role, State, Successor};
 use crate::net::list::dns_sd::DnsSd;
-use crate::net::list::spread::Spread;
-use crate::net::list::watch::Watch;
-use crate::net::list::{write as write_list, Book, Entry, News};
+use crate::net::list::spread::CallSpread;
+use crate::net::list::watch::DiscoveryWatch;
+use crate::net::list::{write as write_list, EndpointList, ListEntry, ListUpdate};
 use crate::net::members::{self, Members};
 use crate::net::poll::{Peer, Poll};
-use crate::net::reports::Reports;
-use crate::net::servers::amqp::Brokers;
-use crate::net::servers::http::Servers;
+use crate::net::reports::DeliveryReports;
+use crate::net::servers::amqp::BrokerConnections;
+use crate::net::servers::http::EndpointConnections;
 use crate::net::upgrade::{self, Early};
 use crate::startup::kept::Kept;
 use crate::startup::ramp::Ramp;
@@ -102,7 +102,7 @@
         let told = model.members.as_ref();
         let members = told.map(|told| listen_to_members(poll, told.listen, socket)).transpose()?;
         // Last: whoever finds this one open finds the others open, too.
-        let clients = listen(poll, "listen", model.listen, Peer::Listener, &mut listeners)?;
+        let clients = listen(poll, "listen", model.listen, Peer::ClientListener, &mut listeners)?;
         Ok(Sockets { admin, publishers, members, clients })
     }
 }
@@ -153,11 +153,11 @@
     /// Calls may go by it.
     is_ready: bool,
     /// What discovery told of it.
-    discovered: Vec<Entry>,
+    discovered: Vec<ListEntry>,
     /// What look-ups of another process found.
-    looked_up: Option<Vec<Entry>>,
+    looked_up: Option<Vec<ListEntry>>,
     /// The whole list, with the entries of every source.
-    whole: News,
+    whole: ListUpdate,
     /// The copy that the folder keeps, where it counts.
     kept: Option<Kept>,
 }
@@ -165,11 +165,11 @@
 impl FirstList {
     /// Of what was handed over, what the folder keeps and what the platform's file knows, the first that there is.
     fn choose(
-        known: Option<News>,
+        known: Option<ListUpdate>,
         folder: &Path,
         model: &Model,
         handed: Option<&State>,
-        own: &[Entry],
+        own: &[ListEntry],
     ) -> FirstList {
         // With a membership the list is kept.
         let is_kept = model.members.is_some() && handed.is_none();
@@ -182,7 +182,7 @@
             (None, None) => (told, known),
         };
         let is_ready = news.is_some();
-        let mut whole = News { whole: true, ..news.unwrap_or_default() };
+        let mut whole = ListUpdate { whole: true, ..news.unwrap_or_default() };
         let discovered = whole.entries.clone();
         let looked_up = handed.map(|state| upgrade::looked_up(state, &model.names));
         whole.entries.extend(own.iter().cloned());
@@ -205,7 +205,7 @@
 }
 
 /// The list that the folder keeps, unless the platform's file knows a newer one.
-fn kept_list(folder: &Path, model: &Model, told: Option<u64>) -> Option<(News, Kept)> {
+fn kept_list(folder: &Path, model: &Model, told: Option<u64>) -> Option<(ListUpdate, Kept)> {
     let kept = members::kept(folder)?;
     let news = listing::read_whole(&kept.bytes, &model.names)?;
     let counts = told.is_none_or(|told| kept.edition.epoch > 0 || kept.edition.generation >= told);
@@ -230,7 +230,7 @@
         early: Early,
         before: Option<&mut Successor>,
     ) -> Result<Node, String> {
-        let Config { state: folder, seed, known, base, .. } = config;
+        let Config { state_folder: folder, seed, known, platform: base, .. } = config;
         let Early { mut poll, clock, signals, ops } = early;
         let (handed, mut sockets) = upgrade::unpack(before);
         let Configured { change_service, store, unkept } =
@@ -240,19 +240,22 @@
             log!("{problem}");
         }
         let listening = Sockets::open(&mut poll, &model, handed.as_ref(), &mut sockets)?;
-        let own: Vec<Entry> = model.brokers.iter().map(listing::entry).collect();
+        let own: Vec<ListEntry> = model.brokers.iter().map(listing::entry).collect();
         let mut first = FirstList::choose(known, &folder, &model, handed.as_ref(), &own);
         let slots = model.core.settings.slots;
-        let mut servers =
-            Servers::new(model.dial_timeout, idle_time(&model), model::endpoint_connection_limit(slots));
-        let mut book = Book::default();
-        book.learn(&first.whole);
+        let mut servers = EndpointConnections::new(
+            model.dial_timeout,
+            idle_time(&model),
+            model::endpoint_connection_limit(slots),
+        );
+        let mut endpoint_list = EndpointList::default();
+        endpoint_list.apply(&first.whole);
         let cached = listing::learn(&mut servers, &first.whole);
         let place = (folder.as_path(), model.disk);
         let now = clock.now();
         let engine = match &handed {
             Some(state) => {
-                let places = model.names.places(&state.names);
+                let places = model.names.index_mapping(&state.names);
                 let core = (state.core.clone(), &places);
                 Engine::follow(&model.core, seed, place, now, cached, core)
             }
@@ -270,10 +273,10 @@
         let names = model.names.clone();
         let mut dns_sd = model.dns_sd.as_ref().map(|(at, service)| DnsSd::new(*at, service, names.clone()));
         if let (Some(lookups), Some(found)) = (&mut dns_sd, first.looked_up.take()) {
-            lookups.follow_up(found);
+            lookups.set_current(found);
         }
-        let spread = Spread::new(model.core.settings.forwarders, seed);
-        let mut watch = Watch::new(model.discovery, names, first.generation, now, spread);
+        let spread = CallSpread::new(model.core.settings.forwarders, seed);
+        let mut watch = DiscoveryWatch::new(model.discovery, names, first.generation, now, spread);
         let siblings = model.core.settings.forwarders;
         let before = handed.as_ref().and_then(|state| state.members.clone());
         let members = model.members.as_ref().zip(listening.members).map(|(told, socket)| {
@@ -290,7 +293,7 @@
         let begun = || Lifecycle::begin(now, first.is_ready, doubt);
         let life = handed.as_ref().map_or_else(begun, |state| state.life.inherited(first.is_ready));
         if handed.is_some() {
-            watch.follow(now);
+            watch.resume(now);
         }
         let mut inputs = Vec::new();
         if let Some(state) = handed {
@@ -302,16 +305,16 @@
             platform,
             publishers,
             servers,
-            brokers: Brokers::new(&model.brokers, directory, model.dial_timeout),
+            brokers: BrokerConnections::new(&model.brokers, directory, model.dial_timeout),
             own,
-            book,
+            endpoint_list,
             admin: listening.admin.map(|listener| Admin::new(listener, model.tokens.clone())),
             dns_sd,
             members,
             seed,
             engine,
             watch,
-            reports: Reports::new(model.discovery),
+            reports: DeliveryReports::new(model.discovery),
             poll,
             clock,
             signals,
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -137,7 +137,7 @@
         if let Some(listener) = &self.listener {
             poll.listen(listener, Peer::OpsListener)?;
         }
-        self.connections.retain(|&token, one| one.stream.move_to(poll, token).is_ok());
+        self.connections.retain(|&token, one| one.stream.register(poll, token).is_ok());
         Ok(())
     }
 
@@ -158,9 +158,9 @@
         loop {
             let Some(listener) = &self.listener else { return };
             let before = self.failures;
-            let mut next = stream::next(listener, "operators' calls", &mut self.failures);
+            let mut next = stream::accept_next(listener, "operators' calls", &mut self.failures);
             if next.is_none() && self.failures > before && self.reserve.take().is_some() {
-                next = stream::next(listener, "operators' calls", &mut self.failures);
+                next = stream::accept_next(listener, "operators' calls", &mut self.failures);
             }
             let Some(socket) = next else { break };
             if self.connections.len() >= MOST {
@@ -196,15 +196,15 @@
         }
         let round = one.stream.input.starts_with(b"PUT /ops/maintenance ");
         let longest = if round { LONGEST_ROUND } else { LONGEST_BODY };
-        let refused = match http::call(&one.stream.input, longest) {
-            Parsed::Whole(request, _) => match asked(&request) {
+        let refused = match http::parse_call(&one.stream.input, longest) {
+            Parsed::Complete(request, _) => match asked(&request) {
                 Ok(call) => {
                     one.pending = matches!(call, Call::Maintain(_));
                     return Some(call);
                 }
                 Err(refused) => refused,
             },
-            Parsed::Bad(status) => Answer::plain(status, "the call cannot be read"),
+            Parsed::Invalid(status) => Answer::plain(status, "the call cannot be read"),
             Parsed::Partial { .. } if one.stream.input.len() > LONGEST_HEAD + longest => {
                 Answer::plain(431, "the call is too long")
             }
@@ -224,7 +224,7 @@
         let Some(one) = self.connections.get_mut(&token) else { return };
         let mut headers = vec![("Content-Type", "application/json"), ("Cache-Control", "no-store")];
         headers.extend(answer.allow.map(|method| ("Allow", method)));
-        let bytes = http::write_answer(answer.status, &headers, answer.body.as_bytes(), true);
+        let bytes = http::write_response(answer.status, &headers, answer.body.as_bytes(), true);
         (one.answered, one.pending) = (Some(now), false);
         one.stream.input.clear();
         if one.stream.send(poll, &bytes).is_err() || one.stream.ended && one.stream.flushed() {
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -17,13 +17,13 @@
     /// SIGHUP.
     Reload,
     /// The listener for clients.
-    Listener,
+    ClientListener,
     /// An edge connection.
-    Edge,
+    Client,
     /// A connection to a real server.
-    Server,
+    Endpoint,
     /// The discovery watch.
-    Watch,
+    Discovery,
     /// The notices.
     Reports,
     /// The listener for publishers.
@@ -43,9 +43,9 @@
     /// A connection of theirs.
     Ops,
     /// Where a process that is to follow this one asks.
-    Door,
+    UpgradeListener,
     /// One that has asked.
-    Follower,
+    Successor,
     /// The other forwarders of the fleet.
     Members,
 }
@@ -53,10 +53,10 @@
 const PEERS: [Peer; 18] = [
     Peer::Stop,
     Peer::Reload,
-    Peer::Listener,
-    Peer::Edge,
-    Peer::Server,
-    Peer::Watch,
+    Peer::ClientListener,
+    Peer::Client,
+    Peer::Endpoint,
+    Peer::Discovery,
     Peer::Reports,
     Peer::AmqpListener,
     Peer::Publisher,
@@ -66,14 +66,14 @@
     Peer::Resolver,
     Peer::OpsListener,
     Peer::Ops,
-    Peer::Door,
-    Peer::Follower,
+    Peer::UpgradeListener,
+    Peer::Successor,
     Peer::Members,
 ];
-const SHIFT: u32 = 56;
+const PEER_SHIFT: u32 = 56;
 /// Sockets that one look tells of. No more than a process may hold as a rule: one that was left out would be late by a turn, and
 /// what had come on it would be told to be missing.
-const MOST_READY: usize = 4096;
+const MAX_READY_EVENTS: usize = 4096;
 
 /// One ready socket.
 #[derive(Clone, Copy, Debug)]
@@ -95,18 +95,18 @@
     /// Makes it.
     pub fn new() -> io::Result<Poll> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        Ok(Poll { epoll, next: 0, events: Vec::with_capacity(MOST_READY) })
+        Ok(Poll { epoll, next: 0, events: Vec::with_capacity(MAX_READY_EVENTS) })
     }
 
     /// Another one, that waits for nothing yet. Tokens go on: none of the old ones is given again.
-    pub fn renewed(&self) -> io::Result<Poll> {
+    pub fn replacement(&self) -> io::Result<Poll> {
         Ok(Poll { next: self.next, ..Poll::new()? })
     }
 
     /// A new token for a peer; none is used twice, so a late event meets nobody.
     pub fn token(&mut self, peer: Peer) -> u64 {
         self.next += 1;
-        (peer as u64) << SHIFT | self.next
+        (peer as u64) << PEER_SHIFT | self.next
     }
 
     /// Watches a socket for input and, if so wished, for room to write.
@@ -141,7 +141,7 @@
         }
         let ready = self.events.iter().filter_map(|event| {
             let token = event.data.u64();
-            let peer = *PEERS.get((token >> SHIFT) as usize)?;
+            let peer = *PEERS.get((token >> PEER_SHIFT) as usize)?;
             Some(Ready { peer, token })
         });
         ready.collect()
@@ -157,10 +157,10 @@
 }
 
 /// The old process stands still for less than that, and what it wrote is read by then.
-const LONGEST_HAND_OVER: Micros = Micros(2_000_000);
+const MAX_HANDOVER_TIME: Micros = Micros(2_000_000);
 
 /// The system's clock, as Unix time.
-pub fn wall() -> Micros {
+pub fn wall_clock() -> Micros {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Micros(since.as_micros() as u64)
 }
@@ -175,14 +175,14 @@
     /// Reads the wall clock once.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Clock {
-        Clock { base: wall(), started: Instant::now() }
+        Clock { base: wall_clock(), started: Instant::now() }
     }
 
     /// Goes on from another process's clock, as it stood when the system's stood so: what was noted by that one keeps its
     /// meaning, and what went by since then counts. Behind by that, each process that follows would let windows and
     /// deadlines end later. The system's clock may have been set meanwhile: no more is believed than a hand-over takes.
-    pub fn follow(now: Micros, then: Option<Micros>) -> Clock {
-        let passed = then.map_or(Micros(0), |then| wall().minus(then)).min(LONGEST_HAND_OVER);
+    pub fn continue_from(now: Micros, then: Option<Micros>) -> Clock {
+        let passed = then.map_or(Micros(0), |then| wall_clock().minus(then)).min(MAX_HANDOVER_TIME);
         Clock { base: now.plus(passed), started: Instant::now() }
     }
 
--- a/src/net/poll/tests.rs
+++ b/src/net/poll/tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn a_clock_that_follows_another_counts_what_went_by_in_between() {
-    let ago = |us| Some(wall().minus(Micros(us)));
-    let late = |then| Clock::follow(NOW, then).now().minus(NOW);
+    let ago = |us| Some(wall_clock().minus(Micros(us)));
+    let late = |then| Clock::continue_from(NOW, then).now().minus(NOW);
     assert!(late(ago(300_000)) >= Micros(300_000), "three tenths of a second to hand over");
     assert!(late(ago(300_000)) < Micros(1_300_000));
     // The system's clock was set while they spoke: back, or an hour on.
-    assert!(late(Some(wall().plus(Micros(3_600_000_000)))) < Micros(1_000_000));
-    assert!(late(ago(3_600_000_000)) < LONGEST_HAND_OVER.plus(Micros(1_000_000)));
+    assert!(late(Some(wall_clock().plus(Micros(3_600_000_000)))) < Micros(1_000_000));
+    assert!(late(ago(3_600_000_000)) < MAX_HANDOVER_TIME.plus(Micros(1_000_000)));
     // A version before this told none.
     assert!(late(None) < Micros(1_000_000));
 }
--- a/src/net/reports.rs
+++ b/src/net/reports.rs
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 
 /// A notice without its 204 is sent again after so long.
-const PATIENCE: Micros = Micros(500_000);
+const ANSWER_TIMEOUT: Micros = Micros(500_000);
 /// Notices in one call at most: 64 KiB take more.
-const MOST: usize = 256;
+const MAX_REPORTS_PER_CALL: usize = 256;
 
 /// See the module's text.
-pub struct Reports {
+pub struct DeliveryReports {
     caller: Caller,
     host: String,
     waiting: Vec<(MessageId, String)>,
@@ -21,11 +21,11 @@
     out: usize,
 }
 
-impl Reports {
+impl DeliveryReports {
     /// Nothing owed yet.
-    pub fn new(address: SocketAddr) -> Reports {
+    pub fn new(address: SocketAddr) -> DeliveryReports {
         let caller = Caller::new(Peer::Reports, address);
-        Reports { caller, host: address.to_string(), waiting: Vec::new(), out: 0 }
+        DeliveryReports { caller, host: address.to_string(), waiting: Vec::new(), out: 0 }
     }
 
     /// Goes on at another address. What is out at the old one is sent again: nobody may have heard it.
@@ -36,12 +36,12 @@
     }
 
     /// Notices are out, and their answer is still to come.
-    pub fn are_out(&self) -> bool {
+    pub fn in_flight(&self) -> bool {
         self.out > 0
     }
 
     /// An end that is owed.
-    pub fn tell(&mut self, flow: MessageId, id: &[u8], end: End) {
+    pub fn add(&mut self, flow: MessageId, id: &[u8], end: End) {
         let id = escape(&String::from_utf8_lossy(id));
         let line = match end {
             End::Deferred(again) => {
@@ -55,20 +55,20 @@
 
     /// Sends what waits, if nothing is out.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
-        if self.caller.failed(now).is_some() {
+        if self.caller.take_failure(now).is_some() {
             log!("notices: no answer to {} of them, sending them again", self.out);
             self.out = 0;
         }
-        if self.waiting.is_empty() || !self.caller.free(now) {
+        if self.waiting.is_empty() || !self.caller.is_ready(now) {
             return;
         }
-        self.out = self.waiting.len().min(MOST);
+        self.out = self.waiting.len().min(MAX_REPORTS_PER_CALL);
         let body: String = self.waiting[..self.out].iter().map(|(_, line)| line.as_str()).collect();
         let request = write_request("POST", "/reports", &self.host, "", body.as_bytes());
-        self.caller.ask(poll, &request, now.plus(PATIENCE));
+        self.caller.send(poll, &request, now.plus(ANSWER_TIMEOUT));
     }
 
-    /// When [`Reports::tick`] is due.
+    /// When [`DeliveryReports::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
         self.caller.due(!self.waiting.is_empty())
     }
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 
 /// Heartbeat interval asked for, in seconds.
-const HEARTBEAT: u16 = 20;
+const HEARTBEAT_SECONDS: u16 = 20;
 /// Channels on one connection at most.
-const MOST_CHANNELS: u16 = 256;
+const MAX_CHANNELS: u16 = 256;
 
 enum Stage {
     /// Handshake: nothing of any call is written before it is over.
@@ -23,15 +23,15 @@
     Open,
 }
 
-struct Link {
+struct BrokerConnection {
     endpoint: EndpointId,
-    /// As it was when the connection began: what was published there ends there.
+    /// As it was when the connection began_at: what was published there ends there.
     broker: Rc<Broker>,
     /// The broker is another or none by now: no call begins here any more.
-    leaving: bool,
+    retired: bool,
     stream: Stream,
     stage: Stage,
-    began: Micros,
+    began_at: Micros,
     frame_max: u32,
     channel_max: u16,
     pulse: Pulse,
@@ -47,30 +47,35 @@
     next_tag: u64,
     /// The next content is one that could not be routed.
     returning: bool,
-    call: Option<Out>,
+    call: Option<ActiveCall>,
 }
 
-struct Out {
+struct ActiveCall {
     call: CallId,
     /// What is to be published once the channel is open.
     waiting: Option<Vec<Item>>,
     written: bool,
-    /// Flows without an outcome: delivery tag, place in the order, id.
+    /// Flows without an outcome: delivery tag, index in the order, id.
     open: Vec<(u64, usize, std::rc::Rc<[u8]>)>,
 }
 
 /// Connections to brokers.
-pub struct Brokers {
+pub struct BrokerConnections {
     brokers: BTreeMap<EndpointId, Rc<Broker>>,
-    links: BTreeMap<u64, Link>,
+    connections: BTreeMap<u64, BrokerConnection>,
     directory: Rc<Directory>,
     dial_timeout: Micros,
 }
 
-impl Brokers {
+impl BrokerConnections {
     /// Handshakes not over within `dial_timeout` have failed.
-    pub fn new(brokers: &[Broker], directory: Rc<Directory>, dial_timeout: Micros) -> Brokers {
-        let mut new = Brokers { brokers: BTreeMap::new(), links: BTreeMap::new(), directory, dial_timeout };
+    pub fn new(brokers: &[Broker], directory: Rc<Directory>, dial_timeout: Micros) -> BrokerConnections {
+        let mut new = BrokerConnections {
+            brokers: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            directory,
+            dial_timeout,
+        };
         new.configure(brokers);
         new
     }
@@ -80,13 +85,13 @@
     pub fn configure(&mut self, brokers: &[Broker]) {
         let brokers = brokers.iter().map(|broker| (endpoint_id(&broker.name), Rc::new(broker.clone())));
         self.brokers = brokers.collect();
-        for link in self.links.values_mut() {
-            link.leaving |= self.brokers.get(&link.endpoint) != Some(&link.broker);
+        for connection in self.connections.values_mut() {
+            connection.retired |= self.brokers.get(&connection.endpoint) != Some(&connection.broker);
         }
     }
 
     /// Other names count from now on.
-    pub fn rename(&mut self, directory: Rc<Directory>, dial_timeout: Micros) {
+    pub fn set_directory(&mut self, directory: Rc<Directory>, dial_timeout: Micros) {
         (self.directory, self.dial_timeout) = (directory, dial_timeout);
     }
 
@@ -105,8 +110,8 @@
         inputs: &mut Vec<Input>,
     ) {
         let Some(broker) = self.brokers.get(&endpoint) else { return inputs.push(Input::Broken(call)) };
-        let fit = |link: &Link| link.endpoint == endpoint && !link.leaving;
-        let known = self.links.iter().find(|(_, link)| fit(link)).map(|(&token, _)| token);
+        let fit = |connection: &BrokerConnection| connection.endpoint == endpoint && !connection.retired;
+        let known = self.connections.iter().find(|(_, connection)| fit(connection)).map(|(&token, _)| token);
         let token = known.unwrap_or_else(|| poll.token(Peer::Broker));
         if known.is_none() {
             let connected = Stream::connect(poll, token, broker.address).and_then(|mut stream| {
@@ -114,40 +119,41 @@
                 Ok(stream)
             });
             let Ok(stream) = connected else { return inputs.push(Input::Broken(call)) };
-            let link = Link {
+            let connection = BrokerConnection {
                 endpoint,
                 broker: broker.clone(),
-                leaving: false,
+                retired: false,
                 stream,
                 stage: Stage::Opening,
-                began: now,
+                began_at: now,
                 frame_max: amqp::FRAME_MAX,
-                channel_max: MOST_CHANNELS,
+                channel_max: MAX_CHANNELS,
                 pulse: Pulse::new(0, now),
                 channels: BTreeMap::new(),
                 closing: Vec::new(),
             };
-            self.links.insert(token, link);
+            self.connections.insert(token, connection);
         }
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else { return };
         let free =
-            link.channels.iter().find(|(_, channel)| channel.call.is_none()).map(|(&number, _)| number);
-        let unused = |number: &u16| !link.channels.contains_key(number) && !link.closing.contains(number);
-        let Some(number) = free.or_else(|| (1..=link.channel_max).find(unused)) else {
+            connection.channels.iter().find(|(_, channel)| channel.call.is_none()).map(|(&number, _)| number);
+        let unused =
+            |number: &u16| !connection.channels.contains_key(number) && !connection.closing.contains(number);
+        let Some(number) = free.or_else(|| (1..=connection.channel_max).find(unused)) else {
             return inputs.push(Input::Broken(call));
         };
         let mut out = Vec::new();
-        if free.is_none() && matches!(link.stage, Stage::Open) {
+        if free.is_none() && matches!(connection.stage, Stage::Open) {
             open_channel(&mut out, number);
         }
-        let channel = link.channels.entry(number).or_default();
-        channel.call = Some(Out { call, waiting: Some(items), written: false, open: Vec::new() });
+        let channel = connection.channels.entry(number).or_default();
+        channel.call = Some(ActiveCall { call, waiting: Some(items), written: false, open: Vec::new() });
         if channel.open {
-            publish(&mut out, number, channel, broker, &self.directory, link.frame_max);
+            publish(&mut out, number, channel, broker, &self.directory, connection.frame_max);
         }
-        link.pulse.said = now;
-        if link.stream.send(poll, &out).is_err() {
-            return self.lose(token, inputs);
+        connection.pulse.said = now;
+        if connection.stream.send(poll, &out).is_err() {
+            return self.end_connection(token, inputs);
         }
         self.note_written(token, inputs);
     }
@@ -155,8 +161,8 @@
     /// A publish may run once any of it may have left: calls share the connection, so what is still unsent
     /// when it breaks does not tell whose it is.
     fn note_written(&mut self, token: u64, inputs: &mut Vec<Input>) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        for out in link.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        for out in connection.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
             if out.waiting.is_none() && !std::mem::replace(&mut out.written, true) {
                 inputs.push(Input::Written(out.call));
             }
@@ -165,20 +171,20 @@
 
     /// A connection is ready.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        let broke = link.stream.ready(poll).is_err();
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let broke = connection.stream.ready(poll).is_err();
         // What has left has left, even if the connection broke right after.
         self.note_written(token, inputs);
-        let Some(link) = self.links.get_mut(&token) else { return };
-        link.pulse.heard = now;
-        let broker = &link.broker.clone();
-        let (mut out, mut at, mut over) = (Vec::new(), 0, broke || link.stream.ended);
-        let input = std::mem::take(&mut link.stream.input);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.pulse.heard = now;
+        let broker = &connection.broker.clone();
+        let (mut out, mut at, mut over) = (Vec::new(), 0, broke || connection.stream.ended);
+        let input = std::mem::take(&mut connection.stream.input);
         loop {
-            match amqp::read(&input[at..], link.frame_max) {
+            match amqp::read(&input[at..], connection.frame_max) {
                 Ok(Some((frame, used))) => {
                     at += used;
-                    match link.take(frame, broker, &self.directory, &mut out, inputs, now) {
+                    match connection.handle_frame(frame, broker, &self.directory, &mut out, inputs, now) {
                         Ok(true) => {}
                         Ok(false) => over = true,
                         Err(problem) => {
@@ -196,80 +202,85 @@
                 }
             }
         }
-        link.stream.input = input[at..].to_vec();
+        connection.stream.input = input[at..].to_vec();
         if !out.is_empty() {
-            link.pulse.said = now;
-            over |= link.stream.send(poll, &out).is_err();
+            connection.pulse.said = now;
+            over |= connection.stream.send(poll, &out).is_err();
         }
         self.note_written(token, inputs);
         if over {
-            self.lose(token, inputs);
+            self.end_connection(token, inputs);
         }
     }
 
     /// A connection is gone: what was published on it and not confirmed may have run.
-    fn lose(&mut self, token: u64, inputs: &mut Vec<Input>) {
-        let Some(link) = self.links.remove(&token) else { return };
+    fn end_connection(&mut self, token: u64, inputs: &mut Vec<Input>) {
+        let Some(connection) = self.connections.remove(&token) else { return };
         inputs.extend(
-            link.channels.into_values().filter_map(|channel| channel.call).map(|out| Input::Broken(out.call)),
+            connection
+                .channels
+                .into_values()
+                .filter_map(|channel| channel.call)
+                .map(|out| Input::Broken(out.call)),
         );
     }
 
     /// Gives up a call: its channel is closed, and a confirm that comes late meets nobody.
     pub fn abort(&mut self, poll: &Poll, call: CallId) {
-        for link in self.links.values_mut() {
+        for connection in self.connections.values_mut() {
             let carries = |channel: &Channel| channel.call.as_ref().is_some_and(|out| out.call == call);
-            let Some(number) = link.channels.iter().find(|(_, c)| carries(c)).map(|(&number, _)| number)
+            let Some(number) =
+                connection.channels.iter().find(|(_, c)| carries(c)).map(|(&number, _)| number)
             else {
                 continue;
             };
-            link.channels.remove(&number);
+            connection.channels.remove(&number);
             let mut out = Vec::new();
-            if matches!(link.stage, Stage::Open) {
-                link.closing.push(number);
+            if matches!(connection.stage, Stage::Open) {
+                connection.closing.push(number);
                 amqp::write_close(&mut out, number, &amqp::Fault(200, "given up".into()), (0, 0));
             }
             // A connection that breaks here shows when it is next ready.
-            let _ = link.stream.send(poll, &out);
+            let _ = connection.stream.send(poll, &out);
         }
     }
 
     /// Heartbeats; ends handshakes that take too long and connections gone silent.
     pub fn tick(&mut self, poll: &Poll, now: Micros, inputs: &mut Vec<Input>) {
-        let mut lost = Vec::new();
-        for (&token, link) in &mut self.links {
-            let opening = matches!(link.stage, Stage::Opening);
-            if link.leaving && link.channels.values().all(|channel| channel.call.is_none()) {
-                lost.push(token);
+        let mut ended = Vec::new();
+        for (&token, connection) in &mut self.connections {
+            let opening = matches!(connection.stage, Stage::Opening);
+            if connection.retired && connection.channels.values().all(|channel| channel.call.is_none()) {
+                ended.push(token);
                 continue;
             }
-            if opening && link.began.plus(self.dial_timeout) <= now || link.pulse.dead(now) {
-                lost.push(token);
-            } else if link.pulse.wanted(now) {
+            if opening && connection.began_at.plus(self.dial_timeout) <= now || connection.pulse.dead(now) {
+                ended.push(token);
+            } else if connection.pulse.wanted(now) {
                 let mut out = Vec::new();
                 amqp::write_heartbeat(&mut out);
-                link.pulse.said = now;
-                if link.stream.send(poll, &out).is_err() {
-                    lost.push(token);
+                connection.pulse.said = now;
+                if connection.stream.send(poll, &out).is_err() {
+                    ended.push(token);
                 }
             }
         }
-        lost.into_iter().for_each(|token| self.lose(token, inputs));
+        ended.into_iter().for_each(|token| self.end_connection(token, inputs));
     }
 
-    /// When [`Brokers::tick`] is due.
+    /// When [`BrokerConnections::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        let due = |link: &Link| match link.stage {
-            Stage::Opening => Some(link.began.plus(self.dial_timeout)),
-            Stage::Open => link.pulse.due(),
+        let due = |connection: &BrokerConnection| match connection.stage {
+            Stage::Opening => Some(connection.began_at.plus(self.dial_timeout)),
+            Stage::Open => connection.pulse.due(),
         };
-        self.links.values().filter_map(due).min()
+        self.connections.values().filter_map(due).min()
     }
 }
 
-impl Link {
+impl BrokerConnection {
     /// One frame from the broker; false when the connection is over.
-    fn take(
+    fn handle_frame(
         &mut self,
         Frame { channel: number, content }: Frame,
         broker: &Broker,
@@ -282,7 +293,7 @@
             Content::Method(name, bytes) => (name, bytes),
             Content::Header(_, properties) => {
                 if let Some(channel) = self.channels.get_mut(&number) {
-                    channel.returned(&properties, inputs);
+                    channel.handle_returned(&properties, inputs);
                 }
                 return Ok(true);
             }
@@ -305,11 +316,12 @@
                 amqp::write_method(out, 0, method::START_OK, &reply);
             }
             method::TUNE => {
-                let told = (args.short()?, args.long()?, args.short()?);
-                let least = |told: u32, own: u32| if told == 0 { own } else { told.min(own) };
-                self.channel_max = least(told.0.into(), MOST_CHANNELS.into()) as u16;
-                self.frame_max = least(told.1, amqp::FRAME_MAX).max(4096);
-                let heartbeat = least(told.2.into(), HEARTBEAT.into()) as u16;
+                let proposed = (args.short()?, args.long()?, args.short()?);
+                let negotiated =
+                    |proposed: u32, own: u32| if proposed == 0 { own } else { proposed.min(own) };
+                self.channel_max = negotiated(proposed.0.into(), MAX_CHANNELS.into()) as u16;
+                self.frame_max = negotiated(proposed.1, amqp::FRAME_MAX).max(4096);
+                let heartbeat = negotiated(proposed.2.into(), HEARTBEAT_SECONDS.into()) as u16;
                 self.pulse = Pulse::new(heartbeat, now);
                 let mut reply = Vec::new();
                 reply.put_short(self.channel_max);
@@ -361,7 +373,7 @@
                 let outcome =
                     if name == method::ACK { AttemptOutcome::Delivered } else { AttemptOutcome::Error };
                 if let Some(channel) = self.channels.get_mut(&number) {
-                    channel.confirmed(tag, bits & 1 != 0, outcome, inputs);
+                    channel.handle_confirm(tag, bits & 1 != 0, outcome, inputs);
                 }
             }
             _ => {}
@@ -371,31 +383,31 @@
 }
 
 impl Channel {
-    fn confirmed(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
+    fn handle_confirm(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
         let Some(out) = &mut self.call else { return };
         let named = |open: u64| open == tag || multiple && (open < tag || tag == 0);
         let results: Vec<_> = out
             .open
             .iter()
             .filter(|(open, ..)| named(*open))
-            .map(|&(_, place, _)| (place, outcome, outcome == AttemptOutcome::Delivered))
+            .map(|&(_, index, _)| (index, outcome, outcome == AttemptOutcome::Delivered))
             .collect();
         out.open.retain(|(open, ..)| !named(*open));
-        self.settled(results, inputs);
+        self.report_results(results, inputs);
     }
 
     /// The header of a content: if it is one that the broker could not route, that publish never ran.
-    fn returned(&mut self, properties: &Properties, inputs: &mut Vec<Input>) {
+    fn handle_returned(&mut self, properties: &Properties, inputs: &mut Vec<Input>) {
         if !std::mem::take(&mut self.returning) {
             return;
         }
         let Some(out) = &mut self.call else { return };
         let of = out.open.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
-        let Some((_, place, _)) = of.map(|index| out.open.remove(index)) else { return };
-        self.settled(vec![(place, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
+        let Some((_, index, _)) = of.map(|index| out.open.remove(index)) else { return };
+        self.report_results(vec![(index, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
     }
 
-    fn settled(&mut self, results: Vec<(usize, AttemptOutcome, bool)>, inputs: &mut Vec<Input>) {
+    fn report_results(&mut self, results: Vec<(usize, AttemptOutcome, bool)>, inputs: &mut Vec<Input>) {
         let Some(out) = &self.call else { return };
         if !results.is_empty() {
             inputs.push(Input::Answered { call: out.call, results, wait: None });
@@ -420,7 +432,7 @@
     frame_max: u32,
 ) {
     let Some(call) = &mut channel.call else { return };
-    for (place, item) in call.waiting.take().unwrap_or_default().into_iter().enumerate() {
+    for (index, item) in call.waiting.take().unwrap_or_default().into_iter().enumerate() {
         let mut args = vec![0, 0];
         args.put_name(broker.exchange.as_bytes());
         args.put_name(broker.routing_key.as_bytes());
@@ -435,7 +447,7 @@
             ..Properties::default()
         };
         amqp::write_content(out, number, &properties, &item.body, frame_max);
-        call.open.push((channel.next_tag, place, item.id));
+        call.open.push((channel.next_tag, index, item.id));
         channel.next_tag += 1;
     }
 }
--- a/src/net/servers/http/tests.rs
+++ b/src/net/servers/http/tests.rs
@@ -6,9 +6,11 @@
 #[test]
 fn only_a_new_connection_that_is_turned_away_and_closed_tells_of_a_full_table() {
     let told = |head: &str, new| {
-        let out = Out::new(1, vec![Rc::from(&b"a"[..])], false, Micros(u64::MAX));
+        let out = ActiveCall::new(1, vec![Rc::from(&b"a"[..])], false, Micros(u64::MAX));
         let input = format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n");
-        let Parsed::Whole(answer, _) = http::answer(input.as_bytes(), false, 1_000) else { panic!("{head}") };
+        let Parsed::Complete(answer, _) = http::parse_response(input.as_bytes(), false, 1_000) else {
+            panic!("{head}")
+        };
         let Input::Answered { results, .. } = outcome(&out, &answer, new) else { panic!("{head}") };
         results[0].1
     };
@@ -23,10 +25,10 @@
 #[test]
 fn endpoints_that_are_gone_are_let_go() {
     let time = Micros(1_000_000);
-    let mut servers = Servers::new(time, time, 8);
+    let mut servers = EndpointConnections::new(time, time, 8);
     for number in 0..100 {
         let address = SocketAddr::from(([127, 0, 0, 1], 7000));
-        servers.learn(EndpointId(number), address);
+        servers.set_address(EndpointId(number), address);
         servers.retain(|endpoint| endpoint.0 + 2 > number);
     }
     assert_eq!(servers.addresses.keys().copied().collect::<Vec<_>>(), [EndpointId(98), EndpointId(99)]);
@@ -38,7 +40,7 @@
 /// Connections to one endpoint, whose side the test holds.
 struct Rig {
     poll: Poll,
-    servers: Servers,
+    servers: EndpointConnections,
     token: u64,
     endpoint: TcpStream,
 }
@@ -48,10 +50,14 @@
     fn called(messages: usize) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut poll = Poll::new().unwrap();
-        let mut servers = Servers::new(Micros(9_000_000), Micros(9_000_000), 8);
-        servers.learn(ENDPOINT, listener.local_addr().unwrap());
-        let outgoing =
-            Outgoing { call: CALL, endpoint: ENDPOINT, wait: Micros(9_000_000), leaves_by: Micros(u64::MAX) };
+        let mut servers = EndpointConnections::new(Micros(9_000_000), Micros(9_000_000), 8);
+        servers.set_address(ENDPOINT, listener.local_addr().unwrap());
+        let outgoing = Outgoing {
+            call: CALL,
+            endpoint: ENDPOINT,
+            wait: Micros(9_000_000),
+            send_deadline: Micros(u64::MAX),
+        };
         let item = |number: usize| Item {
             id: format!("m{number}").into_bytes().into(),
             key: None,
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -14,7 +14,7 @@
 
 impl Signals {
     /// Takes the signals over. Made before anything else: what is not handled yet would end the process.
-    pub fn take() -> io::Result<Signals> {
+    pub fn install() -> io::Result<Signals> {
         Ok(Signals { stop: pipe(SIGTERM)?, reload: pipe(SIGHUP)? })
     }
 }
@@ -27,6 +27,6 @@
 }
 
 /// Empties one of them: several signals that came together count as one.
-pub fn heard(mut signal: &UnixStream) {
+pub fn drain(mut signal: &UnixStream) {
     while matches!(signal.read(&mut [0; 64]), Ok(1..)) {}
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -8,9 +8,9 @@
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
 /// Read at once at most; a peer that sends more is read again in the next turn.
-const CHUNK: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// A peer that does not read what it is sent is cut off beyond this.
-const MOST_UNSENT: usize = 1 << 20;
+const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 /// See the module's text.
 pub struct Stream {
@@ -38,7 +38,7 @@
 }
 
 /// The next connection that waits at a listener. One that the system refuses is told and counted.
-pub fn next(listener: &TcpListener, who: &str, failures: &mut u64) -> Option<TcpStream> {
+pub fn accept_next(listener: &TcpListener, who: &str, failures: &mut u64) -> Option<TcpStream> {
     loop {
         match listener.accept() {
             Ok((socket, _)) => return Some(socket),
@@ -94,7 +94,7 @@
     }
 
     /// Goes on with what another process handed over.
-    pub fn follow(poll: &Poll, token: u64, handed: HandedStream, socket: OwnedFd) -> io::Result<Stream> {
+    pub fn take_over(poll: &Poll, token: u64, handed: HandedStream, socket: OwnedFd) -> io::Result<Stream> {
         let HandedStream { input, output, connecting, ended } = handed;
         let socket = TcpStream::from(socket);
         let watching_write = connecting || !output.is_empty();
@@ -103,7 +103,7 @@
     }
 
     /// Another poll waits for it from now on.
-    pub fn move_to(&self, poll: &Poll, token: u64) -> io::Result<()> {
+    pub fn register(&self, poll: &Poll, token: u64) -> io::Result<()> {
         poll.add(&self.socket, token, self.watching_write)
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Bytes have come that are still with the system.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.socket.peek(&mut [0]).is_ok_and(|count| count > 0)
     }
 
@@ -123,13 +123,13 @@
     }
 
     /// Nothing has come that was not read yet, and the peer has not ended: fit to be used again, or let go.
-    pub fn quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let peeked = self.socket.peek(&mut [0]);
-        self.input.is_empty() && !self.ended && peeked.is_err_and(|problem| retry(&problem))
+        self.input.is_empty() && !self.ended && peeked.is_err_and(|problem| is_transient(&problem))
     }
 
     /// Ends the sending: the peer reads all that was written, and then the end.
-    pub fn end_sending(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         self.socket.shutdown(Shutdown::Write)
     }
 
@@ -146,11 +146,11 @@
             }
         }
         let written = self.flush(poll);
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         match self.socket.read(&mut chunk) {
             Ok(0) => self.ended = true,
             Ok(count) => self.input.extend(&chunk[..count]),
-            Err(problem) if retry(&problem) => {}
+            Err(problem) if is_transient(&problem) => {}
             Err(problem) => return Err(problem),
         }
         written
@@ -158,7 +158,7 @@
 
     /// Queues bytes and writes what can be written now.
     pub fn send(&mut self, poll: &Poll, bytes: &[u8]) -> io::Result<()> {
-        if self.output.len() + bytes.len() > MOST_UNSENT {
+        if self.output.len() + bytes.len() > MAX_UNSENT_BYTES {
             return Err(ErrorKind::OutOfMemory.into());
         }
         self.output.extend(bytes);
@@ -185,6 +185,6 @@
     }
 }
 
-fn retry(problem: &io::Error) -> bool {
+fn is_transient(problem: &io::Error) -> bool {
     matches!(problem.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -5,12 +5,12 @@
 use super::config::Config;
 pub(super) use super::handover::pass;
 use super::handover::{self, Found, Role, State, Successor};
-use super::list::{Entry, Names, News};
+use super::list::{ListEntry, ListUpdate, Names};
 use super::members::Members;
 use super::node::{Node, Options};
 use super::ops::{self, Ops};
-use super::poll::{wall, Clock, Peer, Poll};
-use super::servers::http::Servers;
+use super::poll::{wall_clock, Clock, Peer, Poll};
+use super::servers::http::EndpointConnections;
 use super::signals::Signals;
 use crate::engine::CallId;
 use crate::Micros;
@@ -49,7 +49,7 @@
             poll.add(signal, token, false).map_err(plain)?;
         }
         let clock = Clock::new();
-        let ops = config.ops.map(|at| Ops::new(&mut poll, at, clock.now()));
+        let ops = config.ops_address.map(|at| Ops::new(&mut poll, at, clock.now()));
         Ok(Early { poll, clock, signals, ops })
     }
 
@@ -90,7 +90,7 @@
     let mut early = Early::new(&config, signals)?;
     let mut told = String::new();
     loop {
-        match handover::look(&config.state) {
+        match handover::look(&config.state_folder) {
             Found::Free(seat) => {
                 let mut node = Node::new(config, options, early, None)?;
                 node.possess(seat)?;
@@ -99,7 +99,7 @@
             Found::Handed(mut before) => {
                 // Built beside the old process, which stands still; it owns the folder until it lets go.
                 let (config, options) = (config.clone(), options.clone());
-                let clock = Clock::follow(before.now, before.wall);
+                let clock = Clock::continue_from(before.now, before.wall);
                 let again = Early { poll: early.poll, clock, signals: early.signals, ops: early.ops };
                 pass("built");
                 let mut node = Node::new(config, options, again, Some(&mut before))?;
@@ -149,11 +149,11 @@
     there.then(|| sockets.remove(0))
 }
 
-fn translated(entries: &[Entry], before: &Names, names: &Names) -> Vec<Entry> {
-    let places = names.places(before);
+fn translated(entries: &[ListEntry], before: &Names, names: &Names) -> Vec<ListEntry> {
+    let places = names.index_mapping(before);
     let mut entries = entries.to_vec();
     for entry in &mut entries {
-        let member = &mut entry.member;
+        let member = &mut entry.record;
         member.kind = places.kinds.get(member.kind).copied().unwrap_or(names.kinds.len());
         member.zone =
             places.zones.get(member.zone as usize).map_or(names.zones.len() as u32, |&at| at as u32);
@@ -162,13 +162,13 @@
 }
 
 /// The list as discovery told it to the process before.
-pub(super) fn list(state: &State, names: &Names) -> News {
+pub(super) fn list(state: &State, names: &Names) -> ListUpdate {
     let entries = translated(&state.entries, &state.names, names);
-    News { generation: state.generation.unwrap_or_default(), whole: true, entries }
+    ListUpdate { generation: state.generation.unwrap_or_default(), whole: true, entries }
 }
 
 /// What its look-ups found.
-pub(super) fn looked_up(state: &State, names: &Names) -> Vec<Entry> {
+pub(super) fn looked_up(state: &State, names: &Names) -> Vec<ListEntry> {
     translated(&state.looked_up, &state.names, names)
 }
 
@@ -177,7 +177,7 @@
     poll: &mut Poll,
     state: State,
     sockets: Vec<OwnedFd>,
-    (platform, servers): (&mut Platform, &mut Servers),
+    (platform, servers): (&mut Platform, &mut EndpointConnections),
     mut broken: impl FnMut(CallId),
 ) {
     let mut sockets = sockets.into_iter();
@@ -188,7 +188,7 @@
         .servers
         .into_iter()
         .zip(sockets)
-        .filter_map(|(one, socket)| servers.follow(poll, one, socket))
+        .filter_map(|(one, socket)| servers.take_over(poll, one, socket))
         .collect();
     state.core.out().filter(|call| !followed.contains(call)).for_each(&mut broken);
 }
@@ -202,7 +202,7 @@
             written.map_err(|problem| problem.to_string())?;
         }
         if let Some(seat) = &seat {
-            let token = self.poll.token(Peer::Door);
+            let token = self.poll.token(Peer::UpgradeListener);
             if let Err(problem) = self.poll.add(seat.door(), token, false) {
                 log!("no upgrade beside this process: {problem}");
             }
@@ -215,7 +215,7 @@
 
     /// What this process was to have is another's still: all of it is given back, and the start begins anew.
     fn step_back(self) -> std::io::Result<Early> {
-        let mut poll = self.poll.renewed()?;
+        let mut poll = self.poll.replacement()?;
         for (signal, peer) in [(&self.signals.stop, Peer::Stop), (&self.signals.reload, Peer::Reload)] {
             let token = poll.token(peer);
             poll.add(signal, token, false)?;
@@ -233,7 +233,7 @@
         if self.follower.is_some() || now < self.barred_until {
             return;
         }
-        let token = self.poll.token(Peer::Follower);
+        let token = self.poll.token(Peer::Successor);
         if self.poll.add(follower.stream(), token, false).is_ok() {
             self.follower = Some(follower);
         }
@@ -255,7 +255,7 @@
     /// may be done here any more.
     pub(super) fn hand_over(&mut self, now: Micros) -> bool {
         let Some(asked) = self.follower.as_ref().and_then(|follower| follower.asked) else { return false };
-        let settled = !self.reports.are_out() && self.asks.is_empty() && self.reload.is_none();
+        let settled = !self.reports.in_flight() && self.asks.is_empty() && self.reload.is_none();
         let rest = self.inputs.is_empty() && self.engine.at_rest();
         let patient = now < asked.plus(SETTLE);
         if !rest || (patient && !settled) {
@@ -287,23 +287,23 @@
     /// All that is handed over. Where descriptors are short, connections on which nothing is under way are closed first:
     /// for a moment, all are open twice.
     fn state(&mut self) -> Result<State, String> {
-        let held = self.platform.held() + self.servers.held();
+        let held = self.platform.held() + self.servers.count();
         let over = (2 * (held + BESIDES)).saturating_sub(self.change_service.model().sockets).div_ceil(2);
-        let over = over - self.servers.close_some(over).min(over);
+        let over = over - self.servers.close_longest_idle(over).min(over);
         self.platform.close_some(over);
         let core = self.engine.hand_over()?;
-        let others = |entry: &&Entry| {
+        let others = |entry: &&ListEntry| {
             let looked_up = self.dns_sd.iter().flat_map(|dns_sd| dns_sd.current());
             !self.own.iter().chain(looked_up).any(|one| one.name == entry.name)
         };
         Ok(State {
             now: self.clock.now(),
-            wall: Some(wall()),
+            wall: Some(wall_clock()),
             core,
             life: self.life,
             listed: self.life.knows_a_list(),
             generation: self.watch.generation(),
-            entries: self.book.0.values().filter(others).cloned().collect(),
+            entries: self.endpoint_list.0.values().filter(others).cloned().collect(),
             looked_up: self.dns_sd.iter().flat_map(|dns_sd| dns_sd.current()).cloned().collect(),
             names: self.change_service.model().names.clone(),
             listeners: self.listeners().into_iter().map(|(role, _)| role).collect(),
