--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets round the core: one thread, one epoll loop. Parts go by peer.
+//! Network I/O around the engine: one thread with one epoll loop. There is a module for each kind of peer.
 
 #[macro_use]
 pub mod log;
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -1,5 +1,6 @@
-//! Calls to brokers: a publish with confirms and `mandatory`. One connection a broker; each channel carries one call
-//! at a time, so giving up a call closes its channel and touches no other.
+//! Calls to AMQP brokers: publishes with confirms and the `mandatory` flag. There is one connection to each
+//! broker. Each channel carries one call at a time, so cancelling a call closes its channel and affects no
+//! other call.
 
 use crate::config::model::Broker;
 use crate::directory::Directory;
@@ -12,22 +13,22 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Heartbeat interval asked for, in seconds.
+/// Heartbeat interval proposed to the broker.
 const HEARTBEAT_SECONDS: u16 = 20;
-/// Channels on one connection at most.
+/// Largest number of channels on one connection.
 const MAX_CHANNELS: u16 = 256;
 
 enum Stage {
-    /// Handshake: nothing of any call is written before it is over.
+    /// Handshake in progress: no call is published before it is complete.
     Opening,
     Open,
 }
 
 struct BrokerConnection {
     endpoint: EndpointId,
-    /// As it was when the connection began_at: what was published there ends there.
+    /// The broker's settings when the connection began; calls published on this connection end on it.
     broker: Rc<Broker>,
-    /// The broker is another or none by now: no call begins here any more.
+    /// The broker's settings have changed or the broker is gone: no new call begins on this connection.
     retired: bool,
     stream: Stream,
     stage: Stage,
@@ -36,26 +37,26 @@
     channel_max: u16,
     pulse: Pulse,
     channels: BTreeMap<u16, Channel>,
-    /// Numbers whose close is not confirmed yet: not to be used again.
+    /// Channels whose close is not confirmed yet: their numbers must not be reused.
     closing: Vec<u16>,
 }
 
 #[derive(Default)]
 struct Channel {
-    /// Confirms are on; before that, nothing is published.
+    /// Confirm mode is on; nothing is published before that.
     open: bool,
     next_tag: u64,
-    /// The next content is one that could not be routed.
+    /// The next content header belongs to a message that the broker returned as unroutable.
     returning: bool,
     call: Option<ActiveCall>,
 }
 
 struct ActiveCall {
     call: CallId,
-    /// What is to be published once the channel is open.
+    /// Messages to publish once the channel is open.
     waiting: Option<Vec<Item>>,
     written: bool,
-    /// Flows without an outcome: delivery tag, index in the order, id.
+    /// Messages without an outcome: delivery tag, index in the call, message id.
     open: Vec<(u64, usize, std::rc::Rc<[u8]>)>,
 }
 
@@ -68,7 +69,7 @@
 }
 
 impl BrokerConnections {
-    /// Handshakes not over within `dial_timeout` have failed.
+    /// A handshake that is not complete within `dial_timeout` has failed.
     pub fn new(brokers: &[Broker], directory: Rc<Directory>, dial_timeout: Micros) -> BrokerConnections {
         let mut new = BrokerConnections {
             brokers: BTreeMap::new(),
@@ -80,8 +81,8 @@
         new
     }
 
-    /// Other brokers from now on. Calls that are out on a connection to one that is gone or another end there, each with
-    /// its own outcome; the connection goes with the last of them. Cost: the brokers.
+    /// Replaces the brokers. Calls on a connection to a broker that is gone or has changed end there with
+    /// their own outcomes; the connection closes after the last of them. Cost: linear in the brokers.
     pub fn configure(&mut self, brokers: &[Broker]) {
         let brokers = brokers.iter().map(|broker| (endpoint_id(&broker.name), Rc::new(broker.clone())));
         self.brokers = brokers.collect();
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Other names count from now on.
+    /// Replaces the directory of names and the dial time-out.
     pub fn set_directory(&mut self, directory: Rc<Directory>, dial_timeout: Micros) {
         (self.directory, self.dial_timeout) = (directory, dial_timeout);
     }
@@ -110,8 +111,9 @@
         inputs: &mut Vec<Input>,
     ) {
         let Some(broker) = self.brokers.get(&endpoint) else { return inputs.push(Input::Broken(call)) };
-        let fit = |connection: &BrokerConnection| connection.endpoint == endpoint && !connection.retired;
-        let known = self.connections.iter().find(|(_, connection)| fit(connection)).map(|(&token, _)| token);
+        let usable = |connection: &BrokerConnection| connection.endpoint == endpoint && !connection.retired;
+        let known =
+            self.connections.iter().find(|(_, connection)| usable(connection)).map(|(&token, _)| token);
         let token = known.unwrap_or_else(|| poll.token(Peer::Broker));
         if known.is_none() {
             let connected = Stream::connect(poll, token, broker.address).and_then(|mut stream| {
@@ -158,8 +160,8 @@
         self.note_written(token, inputs);
     }
 
-    /// A publish may run once any of it may have left: calls share the connection, so what is still unsent
-    /// when it breaks does not tell whose it is.
+    /// Reports published calls as written. A publish may run once any byte of it may have been sent: calls
+    /// share the connection, so the bytes that are unsent when it breaks cannot be attributed to a call.
     fn note_written(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         for out in connection.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
@@ -169,16 +171,16 @@
         }
     }
 
-    /// A connection is ready.
+    /// Handles a connection that is ready to read or write.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let broke = connection.stream.ready(poll).is_err();
-        // What has left has left, even if the connection broke right after.
+        // Bytes that were sent count as sent, even if the connection broke right after.
         self.note_written(token, inputs);
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.pulse.heard = now;
         let broker = &connection.broker.clone();
-        let (mut out, mut at, mut over) = (Vec::new(), 0, broke || connection.stream.ended);
+        let (mut out, mut at, mut ended) = (Vec::new(), 0, broke || connection.stream.ended);
         let input = std::mem::take(&mut connection.stream.input);
         loop {
             match amqp::read(&input[at..], connection.frame_max) {
@@ -186,18 +188,18 @@
                     at += used;
                     match connection.handle_frame(frame, broker, &self.directory, &mut out, inputs, now) {
                         Ok(true) => {}
-                        Ok(false) => over = true,
+                        Ok(false) => ended = true,
                         Err(problem) => {
-                            log!("broker {}: {} {}", broker.address, problem.0, problem.1);
+                            log!("broker {}: protocol error: {} {}", broker.address, problem.0, problem.1);
                             amqp::write_close(&mut out, 0, &problem, (0, 0));
-                            over = true;
+                            ended = true;
                         }
                     }
                 }
                 Ok(None) => break,
                 Err(problem) => {
-                    log!("broker {}: {} {}", broker.address, problem.0, problem.1);
-                    over = true;
+                    log!("broker {}: protocol error: {} {}", broker.address, problem.0, problem.1);
+                    ended = true;
                     break;
                 }
             }
@@ -205,15 +207,15 @@
         connection.stream.input = input[at..].to_vec();
         if !out.is_empty() {
             connection.pulse.said = now;
-            over |= connection.stream.send(poll, &out).is_err();
+            ended |= connection.stream.send(poll, &out).is_err();
         }
         self.note_written(token, inputs);
-        if over {
+        if ended {
             self.end_connection(token, inputs);
         }
     }
 
-    /// A connection is gone: what was published on it and not confirmed may have run.
+    /// Ends a connection. Messages published on it and not confirmed may have run.
     fn end_connection(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.remove(&token) else { return };
         inputs.extend(
@@ -225,7 +227,7 @@
         );
     }
 
-    /// Gives up a call: its channel is closed, and a confirm that comes late meets nobody.
+    /// Cancels a call: its channel is closed, and a late confirm is ignored.
     pub fn abort(&mut self, poll: &Poll, call: CallId) {
         for connection in self.connections.values_mut() {
             let carries = |channel: &Channel| channel.call.as_ref().is_some_and(|out| out.call == call);
@@ -240,12 +242,12 @@
                 connection.closing.push(number);
                 amqp::write_close(&mut out, number, &amqp::Fault(200, "given up".into()), (0, 0));
             }
-            // A connection that breaks here shows when it is next ready.
+            // If the connection breaks here, `ready` finds it.
             let _ = connection.stream.send(poll, &out);
         }
     }
 
-    /// Heartbeats; ends handshakes that take too long and connections gone silent.
+    /// Sends heartbeats; ends connections whose handshake takes too long or whose broker has gone silent.
     pub fn tick(&mut self, poll: &Poll, now: Micros, inputs: &mut Vec<Input>) {
         let mut ended = Vec::new();
         for (&token, connection) in &mut self.connections {
@@ -279,7 +281,7 @@
 }
 
 impl BrokerConnection {
-    /// One frame from the broker; false when the connection is over.
+    /// Handles one frame from the broker; false if the connection is over.
     fn handle_frame(
         &mut self,
         Frame { channel: number, content }: Frame,
@@ -385,25 +387,26 @@
 impl Channel {
     fn handle_confirm(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
         let Some(out) = &mut self.call else { return };
-        let named = |open: u64| open == tag || multiple && (open < tag || tag == 0);
+        let confirms = |open: u64| open == tag || multiple && (open < tag || tag == 0);
         let results: Vec<_> = out
             .open
             .iter()
-            .filter(|(open, ..)| named(*open))
+            .filter(|(open, ..)| confirms(*open))
             .map(|&(_, index, _)| (index, outcome, outcome == AttemptOutcome::Delivered))
             .collect();
-        out.open.retain(|(open, ..)| !named(*open));
+        out.open.retain(|(open, ..)| !confirms(*open));
         self.report_results(results, inputs);
     }
 
-    /// The header of a content: if it is one that the broker could not route, that publish never ran.
+    /// Handles a content header. If it belongs to a message that the broker returned as unroutable, that
+    /// publish never ran.
     fn handle_returned(&mut self, properties: &Properties, inputs: &mut Vec<Input>) {
         if !std::mem::take(&mut self.returning) {
             return;
         }
         let Some(out) = &mut self.call else { return };
-        let of = out.open.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
-        let Some((_, index, _)) = of.map(|index| out.open.remove(index)) else { return };
+        let returned = out.open.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
+        let Some((_, index, _)) = returned.map(|index| out.open.remove(index)) else { return };
         self.report_results(vec![(index, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
     }
 
@@ -422,7 +425,7 @@
     amqp::write_method(out, number, method::CHANNEL_OPEN, &[0]);
 }
 
-/// Publishes what waits on a channel.
+/// Publishes the messages that wait on a channel.
 fn publish(
     out: &mut Vec<u8>,
     number: u16,
--- a/src/net/servers/http.rs
+++ b/src/net/servers/http.rs
@@ -1,4 +1,5 @@
-//! Calls over HTTP/1.1. Each connection carries one call at a time; nothing is ever sent again from here.
+//! Calls to endpoints over HTTP/1.1. Each connection carries one call at a time. This module never retries a
+//! call.
 
 use crate::engine::{CallId, Input, Item};
 use crate::net::http::{self, Headers, Parsed, Response};
@@ -15,35 +16,35 @@
 struct Connection {
     endpoint: EndpointId,
     stream: Stream,
-    out: Option<ActiveCall>,
-    /// A whole answer has come on it.
+    active_call: Option<ActiveCall>,
+    /// A complete response has been received on this connection.
     answered: bool,
-    /// When it must be up, or was last used.
-    since: Micros,
+    /// When the latest call began or the connection was last used: the dial and idle time-outs start here.
+    last_used: Micros,
     index_keys: IndexKeys,
 }
 
-/// Where a connection stands in the indexes.
+/// The keys under which the indexes hold a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct IndexKeys {
     deadline: Micros,
     idle_since: Option<Micros>,
 }
 
-/// The call that is out on a connection.
+/// The call in progress on a connection.
 struct ActiveCall {
     call: CallId,
     ids: Vec<Rc<[u8]>>,
     batch: bool,
     written: bool,
-    /// Nothing of it is written from then on.
+    /// If the connection is not established by then, nothing of the call is written.
     send_deadline: Micros,
-    /// Its outcome is told; the rest of the answer is still to come.
-    told: bool,
-    /// The wait and the limit report in the answer's head are told.
-    wait_told: bool,
-    report_told: bool,
-    /// Since the first byte of the answer.
+    /// The outcome has been reported; the rest of the response is still to come.
+    outcome_reported: bool,
+    /// The wait and the load report in the response's headers have been reported.
+    wait_reported: bool,
+    load_reported: bool,
+    /// When the first byte of the response was received.
     answer_since: Option<Micros>,
 }
 
@@ -55,59 +56,62 @@
             batch,
             written: false,
             send_deadline,
-            told: false,
-            wait_told: false,
-            report_told: false,
+            outcome_reported: false,
+            wait_reported: false,
+            load_reported: false,
             answer_since: None,
         }
     }
 
-    /// What the head of an answer tells of the endpoint's limit, once each. It holds from when its line has come: the call's
-    /// outcome may be told before it, or the answer may never come whole.
+    /// Reports the endpoint's limits from the response's headers, each once. A limit is reported as soon as
+    /// its header line is complete: the call's outcome may be reported earlier, or the response may never be
+    /// complete.
     fn report_limits(&mut self, endpoint: EndpointId, headers: &Headers, inputs: &mut Vec<Input>) {
-        if !self.report_told {
+        if !self.load_reported {
             let report = headers.get("Server-Load").and_then(Report::parse);
-            self.report_told = report.is_some();
+            self.load_reported = report.is_some();
             inputs.extend(report.map(|report| Input::Report(endpoint, report)));
         }
-        if !self.wait_told {
+        if !self.wait_reported {
             let wait = wait_header(headers);
-            self.wait_told = wait.is_some();
+            self.wait_reported = wait.is_some();
             inputs.extend(wait.map(|wait| Input::RetryAfter(endpoint, wait)));
         }
     }
 }
 
-/// How long nothing may be sent to the endpoint's destination.
+/// How long nothing may be sent to the endpoint's destination, from the `X-RateLimit-Wait-Ms` header.
 fn wait_header(headers: &Headers) -> Option<Micros> {
     let wait = headers.get("X-RateLimit-Wait-Ms")?.trim().parse::<f64>().ok()?;
     Some(wait).filter(|&ms| ms > 0.0).map(Micros::from_ms)
 }
 
-/// A call to be made.
+/// A call to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Outgoing {
-    /// The call.
+    /// Identifies the call.
     pub call: CallId,
-    /// Where to.
+    /// The endpoint to call.
     pub endpoint: EndpointId,
-    /// How long it will be waited for.
+    /// How long the caller waits for the response; sent as `Request-Timeout`.
     pub wait: Micros,
-    /// Where its connection comes up only then or later, nothing of it is written.
+    /// If the connection is not established by then, nothing of the call is written.
     pub send_deadline: Micros,
 }
 
-/// A connection, for the process that follows.
+/// A connection as handed over to the successor process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HandedConnection {
     endpoint: EndpointId,
     stream: HandedStream,
-    out: Option<HandedOut>,
+    #[serde(rename = "out")]
+    active_call: Option<HandedOut>,
     answered: bool,
-    since: Micros,
+    #[serde(rename = "since")]
+    last_used: Micros,
 }
 
-/// The call that is out on it.
+/// The call in progress on a [`HandedConnection`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct HandedOut {
     call: CallId,
@@ -117,26 +121,29 @@
     /// Absent in a handover from an older version, which did not record it.
     #[serde(default, rename = "leaves_by")]
     send_deadline: Option<Micros>,
-    told: bool,
-    /// A version that did not hand these over told them with the whole answer.
-    #[serde(default)]
-    wait_told: bool,
-    #[serde(default)]
-    report_told: bool,
+    #[serde(rename = "told")]
+    outcome_reported: bool,
+    /// Absent in a handover from an older version, which reported the limits only with the complete response.
+    #[serde(default, rename = "wait_told")]
+    wait_reported: bool,
+    #[serde(default, rename = "report_told")]
+    load_reported: bool,
     answer_since: Option<Micros>,
 }
 
-/// An answer that has begun is whole by then, or spoilt: a head that never ends, or a length that promises more
-/// than comes, would else hold a slot and its flow to the end of the call's time.
+/// Time from the first byte of a response to its end; a longer response is malformed. Without this limit,
+/// headers that never end or a `Content-Length` above what is sent would hold a slot and the message until
+/// the call's time-out.
 const MAX_ANSWER_TIME: Micros = Micros(500_000);
 
-/// Connections to real servers. Cost of a call, an answer or a time-out: some look-ups, however many are held.
+/// Connections to endpoints. A call, a response or a time-out costs a few look-ups, however many connections
+/// are open.
 pub struct EndpointConnections {
     addresses: BTreeMap<EndpointId, SocketAddr>,
     connections: BTreeMap<u64, Connection>,
-    /// When each is to be ended.
+    /// Connections by the time at which they are closed.
     deadlines: BTreeSet<(Micros, u64)>,
-    /// Idle ones by when they were last used: all, and those of each endpoint.
+    /// Idle connections by the time of last use: all, and those of each endpoint.
     idle: BTreeSet<(Micros, u64)>,
     idle_by_endpoint: BTreeMap<EndpointId, BTreeSet<(Micros, u64)>>,
     calls: HashMap<CallId, u64>,
@@ -146,8 +153,8 @@
 }
 
 impl EndpointConnections {
-    /// Connections not up within `dial_timeout` have failed; those idle for `idle_timeout` are closed. Where `max_connections`
-    /// are held, an idle one gives way to a new one.
+    /// A connection not established within `dial_timeout` has failed; one idle for `idle_timeout` is closed.
+    /// At `max_connections`, a new connection replaces the one that has been idle longest.
     pub fn new(dial_timeout: Micros, idle_timeout: Micros, max_connections: usize) -> EndpointConnections {
         EndpointConnections {
             addresses: BTreeMap::new(),
@@ -162,43 +169,43 @@
         }
     }
 
-    /// How many connections are held.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Closes so many idle connections, those unused for longest first; tells how many there were.
+    /// Closes up to `count` idle connections, longest idle first; returns how many were closed.
     pub fn close_longest_idle(&mut self, count: usize) -> usize {
         let oldest: Vec<u64> = self.idle.iter().take(count).map(|&(_, token)| token).collect();
         oldest.iter().for_each(|&token| drop(self.remove(token)));
         oldest.len()
     }
 
-    /// All connections, for the process that follows.
+    /// All connections, to hand over to the successor process.
     pub fn hand_over(&self) -> (Vec<HandedConnection>, Vec<BorrowedFd<'_>>) {
-        let out = |out: &ActiveCall| HandedOut {
-            call: out.call,
-            ids: out.ids.iter().map(|id| serde_bytes::ByteBuf::from(id.to_vec())).collect(),
-            batch: out.batch,
-            written: out.written,
-            send_deadline: Some(out.send_deadline),
-            told: out.told,
-            wait_told: out.wait_told,
-            report_told: out.report_told,
-            answer_since: out.answer_since,
+        let active_call = |active_call: &ActiveCall| HandedOut {
+            call: active_call.call,
+            ids: active_call.ids.iter().map(|id| serde_bytes::ByteBuf::from(id.to_vec())).collect(),
+            batch: active_call.batch,
+            written: active_call.written,
+            send_deadline: Some(active_call.send_deadline),
+            outcome_reported: active_call.outcome_reported,
+            wait_reported: active_call.wait_reported,
+            load_reported: active_call.load_reported,
+            answer_since: active_call.answer_since,
         };
-        let one = |one: &Connection| HandedConnection {
-            endpoint: one.endpoint,
-            stream: one.stream.hand_over().0,
-            out: one.out.as_ref().map(out),
-            answered: one.answered,
-            since: one.since,
+        let one = |connection: &Connection| HandedConnection {
+            endpoint: connection.endpoint,
+            stream: connection.stream.hand_over().0,
+            active_call: connection.active_call.as_ref().map(active_call),
+            answered: connection.answered,
+            last_used: connection.last_used,
         };
         let sockets = self.connections.values().map(|one| one.stream.hand_over().1);
         (self.connections.values().map(one).collect(), sockets.collect())
     }
 
-    /// Goes on with a connection that another process handed over. Tells the call that is out on it.
+    /// Takes over a connection of the predecessor process; returns the call in progress on it.
     pub fn take_over(
         &mut self,
         poll: &mut Poll,
@@ -207,27 +214,31 @@
     ) -> Option<CallId> {
         let token = poll.token(Peer::Endpoint);
         let stream = Stream::take_over(poll, token, handed.stream, socket).ok()?;
-        let out = handed.out.map(|out| ActiveCall {
-            call: out.call,
-            ids: out.ids.iter().map(|id| Rc::from(&id[..])).collect(),
-            batch: out.batch,
-            written: out.written,
-            send_deadline: out.send_deadline.unwrap_or(Micros(u64::MAX)),
-            told: out.told,
-            wait_told: out.wait_told,
-            report_told: out.report_told,
-            answer_since: out.answer_since,
+        let active_call = handed.active_call.map(|active_call| ActiveCall {
+            call: active_call.call,
+            ids: active_call.ids.iter().map(|id| Rc::from(&id[..])).collect(),
+            batch: active_call.batch,
+            written: active_call.written,
+            send_deadline: active_call.send_deadline.unwrap_or(Micros(u64::MAX)),
+            outcome_reported: active_call.outcome_reported,
+            wait_reported: active_call.wait_reported,
+            load_reported: active_call.load_reported,
+            answer_since: active_call.answer_since,
         });
-        let call = out.as_ref().filter(|out| !out.told).map(|out| out.call);
+        let call = active_call
+            .as_ref()
+            .filter(|active_call| !active_call.outcome_reported)
+            .map(|active_call| active_call.call);
         let index_keys = IndexKeys { deadline: Micros(u64::MAX), idle_since: None };
-        let (endpoint, answered, since) = (handed.endpoint, handed.answered, handed.since);
-        self.connections.insert(token, Connection { endpoint, stream, out, answered, since, index_keys });
+        let (endpoint, answered, last_used) = (handed.endpoint, handed.answered, handed.last_used);
+        self.connections
+            .insert(token, Connection { endpoint, stream, active_call, answered, last_used, index_keys });
         self.calls.extend(call.map(|call| (call, token)));
         self.update_indexes(token);
         call
     }
 
-    /// Other limits count from now on; connections over them go as they fall idle.
+    /// Applies new limits. Connections above `max_connections` are closed as they become idle.
     pub fn configure(&mut self, dial_timeout: Micros, idle_timeout: Micros, max_connections: usize) {
         self.max_connections = max_connections;
         if (self.dial_timeout, self.idle_timeout) == (dial_timeout, idle_timeout) {
@@ -238,11 +249,11 @@
         all.into_iter().for_each(|token| self.update_indexes(token));
     }
 
-    /// A connection may stand elsewhere now.
+    /// Updates the indexes after a change of the connection's state.
     fn update_indexes(&mut self, token: u64) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let deadline = deadline(connection, self.dial_timeout, self.idle_timeout);
-        let idle_since = connection.out.is_none().then_some(connection.since);
+        let idle_since = connection.active_call.is_none().then_some(connection.last_used);
         let new = IndexKeys { deadline, idle_since };
         if connection.index_keys == new {
             return;
@@ -270,36 +281,37 @@
         }
     }
 
-    /// Ends a connection.
+    /// Closes a connection.
     fn remove(&mut self, token: u64) -> Option<Connection> {
         let connection = self.connections.remove(&token)?;
         self.remove_from_indexes(connection.endpoint, token, connection.index_keys);
         Some(connection)
     }
 
-    /// Where a real server listens.
+    /// Sets the address of an endpoint; idle connections to a previous address are closed.
     pub fn set_address(&mut self, endpoint: EndpointId, address: SocketAddr) {
         if self.addresses.insert(endpoint, address).is_some_and(|known| known != address) {
             self.close_idle(endpoint);
         }
     }
 
-    /// Lets go of the endpoints that are not to be kept: no call begins there any more; those that are out go on.
-    /// On a day on which each is replaced by a new one, else all of them would be remembered. Cost: the endpoints.
+    /// Forgets the endpoints for which `keep` is false: no new call begins there; calls in progress continue.
+    /// Without this, a day on which every endpoint is replaced would leave all old ones in memory. Cost:
+    /// linear in the endpoints.
     pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
         let gone: Vec<EndpointId> =
             self.addresses.keys().copied().filter(|&endpoint| !keep(endpoint)).collect();
         gone.into_iter().for_each(|endpoint| self.forget(endpoint));
     }
 
-    /// Lets go of one endpoint. Cost: its idle connections.
+    /// Forgets one endpoint. Cost: linear in its idle connections.
     pub fn forget(&mut self, endpoint: EndpointId) {
         self.addresses.remove(&endpoint);
         self.close_idle(endpoint);
     }
 
-    /// The idle connection to an endpoint that was used last. One on which bytes wait that nobody asked for, or
-    /// that has ended, goes: the next call would take them for its own answer.
+    /// The most recently used idle connection to an endpoint. A connection that the peer has closed, or that
+    /// has unsolicited bytes waiting, is closed: the next call would read those bytes as its own response.
     fn reusable(&mut self, endpoint: EndpointId) -> Option<u64> {
         loop {
             let &(_, token) = self.idle_by_endpoint.get(&endpoint)?.last()?;
@@ -310,7 +322,7 @@
         }
     }
 
-    /// Starts a call, on the connection used last or on a new one.
+    /// Starts a call on the most recently used idle connection, or on a new one.
     pub fn call(
         &mut self,
         poll: &mut Poll,
@@ -332,12 +344,13 @@
             match Stream::connect(poll, token, address) {
                 Ok(stream) => {
                     let index_keys = IndexKeys { deadline: Micros(u64::MAX), idle_since: None };
-                    let (out, answered) = (None, false);
-                    let connection = Connection { endpoint, stream, out, answered, since: now, index_keys };
+                    let (active_call, answered) = (None, false);
+                    let connection =
+                        Connection { endpoint, stream, active_call, answered, last_used: now, index_keys };
                     self.connections.insert(token, connection);
                 }
                 Err(problem) => {
-                    log!("servers: no connection to {address}: {problem}");
+                    log!("endpoints: cannot connect to {address}: {problem}");
                     return inputs.push(Input::Broken(call));
                 }
             }
@@ -345,8 +358,8 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let batch = items.len() > 1;
         let ids = items.iter().map(|item| item.id.clone()).collect();
-        connection.out = Some(ActiveCall::new(call, ids, batch, send_deadline));
-        connection.since = now;
+        connection.active_call = Some(ActiveCall::new(call, ids, batch, send_deadline));
+        connection.last_used = now;
         self.calls.insert(call, token);
         let request = if batch {
             batch_request(address, wait, items)
@@ -360,21 +373,24 @@
         self.note_written(token, inputs);
     }
 
-    /// The last byte may have been written just now.
+    /// Reports the call as written once its last byte has been written.
     fn note_written(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let flushed = connection.stream.connected() && connection.stream.flushed();
-        if let Some(out) = connection.out.as_mut().filter(|out| flushed && !out.written) {
-            out.written = true;
-            inputs.push(Input::Written(out.call));
+        if let Some(active_call) =
+            connection.active_call.as_mut().filter(|active_call| flushed && !active_call.written)
+        {
+            active_call.written = true;
+            inputs.push(Input::Written(active_call.call));
         }
     }
 
-    /// A connection is ready.
+    /// Handles a connection that is ready to read or write.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
         self.process_ready(poll, token, now, inputs);
-        // What was learned may end it sooner or later, or leave it idle; to an endpoint that is gone none stays so.
-        let idle = self.connections.get(&token).filter(|connection| connection.out.is_none());
+        // The call's progress may have changed the connection's deadline or left it idle; an idle connection
+        // to an endpoint that is gone is closed.
+        let idle = self.connections.get(&token).filter(|connection| connection.active_call.is_none());
         if idle.is_some_and(|connection| !self.addresses.contains_key(&connection.endpoint)) {
             self.remove(token);
         }
@@ -383,19 +399,22 @@
 
     fn process_ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let late = |out: &ActiveCall| out.send_deadline <= now && !connection.stream.connected();
-        if connection.out.as_ref().is_some_and(late) {
-            // It came up, or failed, too late: the core calls the call back in this turn.
+        let late =
+            |active_call: &ActiveCall| active_call.send_deadline <= now && !connection.stream.connected();
+        if connection.active_call.as_ref().is_some_and(late) {
+            // The connection was established, or failed, after the send deadline: the engine cancels the call
+            // in this loop iteration.
             self.remove(token);
             return;
         }
         let broke = connection.stream.ready(poll).is_err();
-        // Also where it broke: the last byte may have left just before, and then the call may have run.
+        // Also on a broken connection: the last byte may have been sent just before, and then the call may
+        // have run.
         self.note_written(token, inputs);
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let ended = broke || connection.stream.ended;
-        let Some(out) = &mut connection.out else {
-            // Closed by the other side while idle, or bytes that nobody asked for.
+        let Some(active_call) = &mut connection.active_call else {
+            // The peer closed an idle connection or sent unsolicited bytes.
             if ended || !connection.stream.input.is_empty() {
                 self.remove(token);
             }
@@ -403,19 +422,21 @@
         };
         let endpoint = connection.endpoint;
         let input = &connection.stream.input;
-        // One that is as long as its connection is whole where the other side ended that, and not where it was reset.
+        // A response without a length is complete when the peer closes the connection, but not when it resets
+        // it.
         match http::parse_response(input, ended && !broke, http::MAX_RESPONSE_BYTES) {
             Parsed::Complete(answer, used) => {
-                out.report_limits(endpoint, &answer.headers, inputs);
-                if !out.told {
-                    inputs.push(outcome(out, &answer, !connection.answered));
-                    self.calls.remove(&out.call);
+                active_call.report_limits(endpoint, &answer.headers, inputs);
+                if !active_call.outcome_reported {
+                    inputs.push(outcome(active_call, &answer, !connection.answered));
+                    self.calls.remove(&active_call.call);
                 }
                 connection.stream.input.drain(..used);
-                connection.out = None;
+                connection.active_call = None;
                 connection.answered = true;
-                connection.since = now;
-                // An answer before the last byte of the call: what follows on this connection is unclear.
+                connection.last_used = now;
+                // After a response that precedes the call's last byte, the state of the connection is
+                // unclear.
                 let unclear = !connection.stream.flushed() || !connection.stream.input.is_empty();
                 if ended || answer.close || unclear {
                     self.remove(token);
@@ -423,15 +444,18 @@
             }
             partial_or_bad => {
                 if !input.is_empty() {
-                    out.answer_since.get_or_insert(now);
-                    out.report_limits(endpoint, &http::complete_headers(input), inputs);
+                    active_call.answer_since.get_or_insert(now);
+                    active_call.report_limits(endpoint, &http::complete_headers(input), inputs);
                 }
-                // Delivered with the first line, where the call carried one flow.
-                if !out.told && !out.batch && http::response_status(input) == Some(200) {
-                    out.told = true;
-                    self.calls.remove(&out.call);
+                // A call that carries a single message is delivered once the status line reads 200.
+                if !active_call.outcome_reported
+                    && !active_call.batch
+                    && http::response_status(input) == Some(200)
+                {
+                    active_call.outcome_reported = true;
+                    self.calls.remove(&active_call.call);
                     let results = vec![(0, AttemptOutcome::Delivered, true)];
-                    inputs.push(Input::Answered { call: out.call, results, wait: None });
+                    inputs.push(Input::Answered { call: active_call.call, results, wait: None });
                 }
                 match partial_or_bad {
                     _ if broke => self.end_broken(token, inputs),
@@ -443,24 +467,25 @@
         }
     }
 
-    /// The answer on a connection cannot be read: what else would come on it cannot either.
+    /// Ends a connection whose response is malformed: nothing after it can be read either.
     fn end_malformed(&mut self, token: u64, inputs: &mut Vec<Input>) {
-        let out = self.remove(token).and_then(|connection| connection.out);
-        if let Some(out) = out.filter(|out| !out.told) {
-            self.calls.remove(&out.call);
-            inputs.push(Input::Spoilt(out.call));
+        let active_call = self.remove(token).and_then(|connection| connection.active_call);
+        if let Some(active_call) = active_call.filter(|active_call| !active_call.outcome_reported) {
+            self.calls.remove(&active_call.call);
+            inputs.push(Input::Spoilt(active_call.call));
         }
     }
 
     fn end_broken(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.remove(token) else { return };
-        if let Some(out) = connection.out.filter(|out| !out.told) {
-            self.calls.remove(&out.call);
-            inputs.push(Input::Broken(out.call));
+        if let Some(active_call) = connection.active_call.filter(|active_call| !active_call.outcome_reported)
+        {
+            self.calls.remove(&active_call.call);
+            inputs.push(Input::Broken(active_call.call));
         }
     }
 
-    /// Gives up a call: its connection is closed at once.
+    /// Cancels a call by closing its connection at once.
     pub fn abort(&mut self, call: CallId) {
         if let Some(token) = self.calls.remove(&call) {
             self.remove(token);
@@ -474,11 +499,13 @@
         }
     }
 
-    /// Ends connections that do not come up, those idle for long, and those whose answer does not end.
+    /// Closes connections that are not established in time, idle for too long, or whose response takes too
+    /// long.
     pub fn tick(&mut self, now: Micros, inputs: &mut Vec<Input>) {
         while let Some(&(_, token)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
-            let out = self.connections.get(&token).and_then(|connection| connection.out.as_ref());
-            if out.is_some_and(|out| out.answer_since.is_some()) {
+            let active_call =
+                self.connections.get(&token).and_then(|connection| connection.active_call.as_ref());
+            if active_call.is_some_and(|active_call| active_call.answer_since.is_some()) {
                 self.end_malformed(token, inputs);
             } else {
                 self.end_broken(token, inputs);
@@ -493,10 +520,12 @@
 }
 
 fn deadline(connection: &Connection, dial: Micros, idle: Micros) -> Micros {
-    match (&connection.out, connection.stream.connected()) {
-        (None, _) => connection.since.plus(idle),
-        (Some(_), false) => connection.since.plus(dial),
-        (Some(out), true) => out.answer_since.map_or(Micros(u64::MAX), |since| since.plus(MAX_ANSWER_TIME)),
+    match (&connection.active_call, connection.stream.connected()) {
+        (None, _) => connection.last_used.plus(idle),
+        (Some(_), false) => connection.last_used.plus(dial),
+        (Some(active_call), true) => {
+            active_call.answer_since.map_or(Micros(u64::MAX), |since| since.plus(MAX_ANSWER_TIME))
+        }
     }
 }
 
@@ -527,17 +556,23 @@
     http::write_request("POST", "/v1/messages:batch", &address.to_string(), &headers, &body)
 }
 
-/// What an answer says of each flow in the call. A new connection that is turned away and closed, and told no wait, found
-/// the endpoint's connections all taken: on one that is kept, the same word would have been about the call.
-fn outcome(out: &ActiveCall, answer: &Response, new: bool) -> Input {
+/// The attempt outcome of each message in the call. A new connection that is answered with 503 and closed,
+/// without a wait, means that the endpoint's connection limit is reached. On a reused connection the same
+/// response rejects the call.
+fn outcome(active_call: &ActiveCall, answer: &Response, new: bool) -> Input {
     let wait = wait_header(&answer.headers);
     let slots_taken = answer.headers.get("X-Over-Slots").is_some_and(|value| value.trim() == "1");
-    let each = |outcome, over| (0..out.ids.len()).map(|index| (index, outcome, over)).collect();
+    let each = |outcome, over| (0..active_call.ids.len()).map(|index| (index, outcome, over)).collect();
     let results: Vec<(usize, AttemptOutcome, bool)> = match answer.status {
-        200 if out.batch => {
-            let mut results: Vec<_> =
-                out.ids.iter().enumerate().map(|(index, id)| batch_result(index, id, answer, wait)).collect();
-            // The module takes the last word for the call's: a refusal says more than a delivery.
+        200 if active_call.batch => {
+            let mut results: Vec<_> = active_call
+                .ids
+                .iter()
+                .enumerate()
+                .map(|(index, id)| batch_result(index, id, answer, wait))
+                .collect();
+            // The engine takes the last result as that of the call: a rejection carries more information than
+            // a delivery.
             results.sort_by_key(|result| u8::from(result.1 != AttemptOutcome::Delivered));
             results
         }
@@ -549,15 +584,15 @@
         410 => each(AttemptOutcome::NotSent, true),
         status => {
             if status != 500 {
-                log!("servers: answer {status} to a call of {}", out.ids.len());
+                log!("endpoints: unexpected status {status} for a call of size {}", active_call.ids.len());
             }
             each(AttemptOutcome::Error, false)
         }
     };
-    Input::Answered { call: out.call, results, wait }
+    Input::Answered { call: active_call.call, results, wait }
 }
 
-/// What the answer to a call of several says of one; silence may mean that it has run.
+/// The result for one message of a batch. A message without a line in the response may have run.
 fn batch_result(
     index: usize,
     id: &[u8],
--- a/src/net/servers/http/tests.rs
+++ b/src/net/servers/http/tests.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 #[test]
-fn only_a_new_connection_that_is_turned_away_and_closed_tells_of_a_full_table() {
-    let told = |head: &str, new| {
+fn connection_limit_is_reported_only_for_a_new_connection_rejected_and_closed_without_a_wait() {
+    let outcome_of = |head: &str, new| {
         let out = ActiveCall::new(1, vec![Rc::from(&b"a"[..])], false, Micros(u64::MAX));
         let input = format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n");
         let Parsed::Complete(answer, _) = http::parse_response(input.as_bytes(), false, 1_000) else {
@@ -15,15 +15,19 @@
         results[0].1
     };
     let full = AttemptOutcome::Rejected { retry_after: None };
-    assert_eq!(told("503 Busy\r\nConnection: close", true), AttemptOutcome::ConnectionLimitReached);
-    assert_eq!(told("503 Busy\r\nConnection: close", false), full, "the call was heard before");
-    assert_eq!(told("503 Busy", true), full, "it stays open");
+    assert_eq!(outcome_of("503 Busy\r\nConnection: close", true), AttemptOutcome::ConnectionLimitReached);
+    assert_eq!(
+        outcome_of("503 Busy\r\nConnection: close", false),
+        full,
+        "on a reused connection it answers the call"
+    );
+    assert_eq!(outcome_of("503 Busy", true), full, "the connection stays open");
     let wait = AttemptOutcome::Rejected { retry_after: Some(Micros(300_000)) };
-    assert_eq!(told("503 Shut\r\nConnection: close\r\nX-RateLimit-Wait-Ms: 300", true), wait);
+    assert_eq!(outcome_of("503 Shut\r\nConnection: close\r\nX-RateLimit-Wait-Ms: 300", true), wait);
 }
 
 #[test]
-fn endpoints_that_are_gone_are_let_go() {
+fn retain_forgets_endpoints_that_are_gone() {
     let time = Micros(1_000_000);
     let mut servers = EndpointConnections::new(time, time, 8);
     for number in 0..100 {
@@ -37,17 +41,17 @@
 const ENDPOINT: EndpointId = EndpointId(7);
 const CALL: CallId = 1;
 
-/// Connections to one endpoint, whose side the test holds.
-struct Rig {
+/// Connections to one endpoint; the test holds the endpoint's side.
+struct Harness {
     poll: Poll,
     servers: EndpointConnections,
     token: u64,
     endpoint: TcpStream,
 }
 
-impl Rig {
-    /// A call of some messages has been written.
-    fn called(messages: usize) -> Rig {
+impl Harness {
+    /// Writes a call with `messages` messages.
+    fn with_written_call(messages: usize) -> Harness {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut poll = Poll::new().unwrap();
         let mut servers = EndpointConnections::new(Micros(9_000_000), Micros(9_000_000), 8);
@@ -69,31 +73,31 @@
         let endpoint = listener.accept().unwrap().0;
         endpoint.set_nodelay(true).unwrap();
         let token = servers.connections.keys().copied().next().unwrap();
-        let mut rig = Rig { poll, servers, token, endpoint };
-        rig.hear();
-        rig
+        let mut harness = Harness { poll, servers, token, endpoint };
+        harness.process_ready();
+        harness
     }
 
-    /// What the next ready moment of the connection brings.
-    fn hear(&mut self) -> Vec<Input> {
+    /// Waits until the connection is ready and returns the inputs that this produces.
+    fn process_ready(&mut self) -> Vec<Input> {
         let mut inputs = Vec::new();
         let ready = self.poll.wait(Duration::from_secs(10));
-        assert!(ready.iter().any(|ready| ready.token == self.token), "nothing came");
+        assert!(ready.iter().any(|ready| ready.token == self.token), "the connection is not ready");
         self.servers.ready(&self.poll, self.token, Micros(1), &mut inputs);
         inputs
     }
 
-    /// What some bytes of an answer bring, read in one piece.
+    /// Sends bytes of a response, read in one piece, and returns the inputs that they produce.
     fn answer(&mut self, bytes: &[u8]) -> Vec<Input> {
         if bytes.is_empty() {
             return Vec::new();
         }
         self.endpoint.write_all(bytes).unwrap();
-        self.hear()
+        self.process_ready()
     }
 }
 
-/// Waits told outside of an outcome, and reports.
+/// Waits reported apart from an outcome, and the number of load reports.
 fn limits(inputs: &[Input]) -> (Vec<Micros>, usize) {
     let waits = inputs.iter().filter_map(|input| match input {
         Input::RetryAfter(ENDPOINT, wait) => Some(*wait),
@@ -105,10 +109,11 @@
 
 const HEADERS: &str = "Server-Load: x0=0.4,x1=25\r\nX-RateLimit-Wait-Ms: 2700\r\nContent-Length: ";
 
-/// A single call is told as delivered with its first line, and was then heard no more: a wait or a report that came in a later
-/// piece of the head was dropped, and the next call left 2 ms later in place of 2.7 s.
+/// A call with a single message is delivered with the status line. Guards against dropping a wait or a load
+/// report that arrives in a later piece of the headers: the next call was then sent 2 ms later instead of 2.7
+/// s.
 #[test]
-fn a_wait_and_a_report_are_told_once_wherever_the_answer_is_cut() {
+fn wait_and_load_report_are_reported_once_wherever_the_response_is_split() {
     for (messages, first_line, body) in [
         (1, "200 OK", ""),
         (1, "429 Full", ""),
@@ -118,12 +123,12 @@
         let interim = "HTTP/1.1 100 Continue\r\n\r\n";
         let whole = format!("{interim}HTTP/1.1 {first_line}\r\n{HEADERS}{}\r\n\r\n{body}", body.len());
         for cut in 0..whole.len() {
-            let mut rig = Rig::called(messages);
-            let mut inputs = rig.answer(&whole.as_bytes()[..cut]);
-            inputs.extend(rig.answer(&whole.as_bytes()[cut..]));
-            let told = limits(&inputs);
+            let mut harness = Harness::with_written_call(messages);
+            let mut inputs = harness.answer(&whole.as_bytes()[..cut]);
+            inputs.extend(harness.answer(&whole.as_bytes()[cut..]));
+            let reported = limits(&inputs);
             assert_eq!(
-                told,
+                reported,
                 (vec![Micros(2_700_000)], 1),
                 "{first_line} of {messages}, cut at {cut}: {inputs:?}"
             );
@@ -134,24 +139,24 @@
     }
 }
 
-/// An answer that breaks off, or is spoilt, behind the header's line: the wait was told all the same.
+/// The wait counts although the response breaks off, or turns out malformed, after the header line.
 #[test]
-fn a_wait_counts_from_its_line_whatever_becomes_of_the_answer() {
+fn wait_is_reported_from_its_header_line_even_if_the_response_is_cut_off_or_malformed() {
     for (messages, first_line) in [(1, "200 OK"), (1, "429 Full"), (2, "200 OK")] {
         let begun = format!("HTTP/1.1 {first_line}\r\nX-RateLimit-Wait-Ms: 2700\r\n");
         for rest in ["", "Content-Length: 9\r\n\r\nm0", "Content-Length: 3000000000\r\n\r\n"] {
-            let mut rig = Rig::called(messages);
-            let mut inputs = rig.answer(begun.as_bytes());
+            let mut harness = Harness::with_written_call(messages);
+            let mut inputs = harness.answer(begun.as_bytes());
             assert_eq!(limits(&inputs).0, [Micros(2_700_000)], "{first_line}, {rest:?}");
-            inputs.extend(rig.answer(rest.as_bytes()));
-            if rig.servers.connections.contains_key(&rig.token) {
-                rig.endpoint.shutdown(std::net::Shutdown::Both).unwrap();
-                inputs.extend(rig.hear());
+            inputs.extend(harness.answer(rest.as_bytes()));
+            if harness.servers.connections.contains_key(&harness.token) {
+                harness.endpoint.shutdown(std::net::Shutdown::Both).unwrap();
+                inputs.extend(harness.process_ready());
             }
             assert_eq!(limits(&inputs).0, [Micros(2_700_000)], "{first_line}, {rest:?}: {inputs:?}");
         }
-        // Half a line tells nothing: its figure may go on.
-        let mut rig = Rig::called(messages);
-        assert_eq!(limits(&rig.answer(&begun.as_bytes()[..begun.len() - 2])).0, []);
+        // An incomplete header line is ignored: its number may continue.
+        let mut harness = Harness::with_written_call(messages);
+        assert_eq!(limits(&harness.answer(&begun.as_bytes()[..begun.len() - 2])).0, []);
     }
 }
--- a/src/net/servers/mod.rs
+++ b/src/net/servers/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to real servers.
+//! Calls to endpoints over HTTP and AMQP.
 
 pub mod amqp;
 pub mod http;
