--- a/src/net/list/dns_sd.rs
+++ b/src/net/list/dns_sd.rs
@@ -1,7 +1,7 @@
-//! Service entries from DNS-SD records (RFC 6763), pending over TCP from a configured resolver: PTR names the
-//! instances, SRV and TXT tell where each is and what it is. A failed lookup keeps the last list.
+//! Endpoint records from DNS-SD (RFC 6763), queried over TCP from a configured resolver: PTR records name the
+//! instances; SRV and TXT records give their addresses and properties. A failed lookup keeps the last list.
 //!
-//! TXT keys: `cell` (the destination's number, needed), `kind`, `zone`, and `state=draining`.
+//! TXT keys: `cell` (the destination's number, required), `kind`, `zone`, and `state=draining`.
 
 use super::{endpoint_id, ListEntry, ListUpdate, Names};
 use crate::net::poll::{Peer, Poll};
@@ -15,14 +15,14 @@
 const TXT: u16 = 16;
 const AAAA: u16 = 28;
 const SRV: u16 = 33;
-/// A lookup takes no longer.
+/// A lookup that takes longer has failed.
 const LOOKUP_TIMEOUT: Micros = Micros(3_000_000);
-/// After a failure.
+/// Time from a failed lookup to the next one.
 const FAILURE_BACKOFF: Micros = Micros(5_000_000);
-/// Records are pending for again when the first of them runs out, within these bounds.
+/// The next lookup starts when the first record expires, but within these bounds.
 const MIN_TTL_SECONDS: u32 = 1;
 const MAX_TTL_SECONDS: u32 = 300;
-/// Instances of the service at most.
+/// Largest number of instances of the service.
 const MAX_INSTANCES: usize = 256;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -40,14 +40,14 @@
     data: Data,
 }
 
-/// See the module's text.
+/// Looks up the instances of one DNS-SD service.
 pub struct DnsSd {
     resolver: SocketAddr,
     service: String,
     names: Names,
     stream: Option<Stream>,
     token: u64,
-    /// Questions that are out, by their number.
+    /// Queries without an answer, by their id.
     pending: BTreeMap<u16, (String, u16)>,
     answered: BTreeSet<(String, u16)>,
     records: Vec<Record>,
@@ -57,7 +57,7 @@
 }
 
 impl DnsSd {
-    /// Nothing known yet.
+    /// Creates a lookup without any known entries.
     pub fn new(resolver: SocketAddr, service: &str, names: Names) -> DnsSd {
         DnsSd {
             resolver,
@@ -74,32 +74,33 @@
         }
     }
 
-    /// Goes on with what another lookup had found: what the next one does not find is told as gone.
+    /// Takes over the entries of another lookup; entries that the next lookup does not find are reported as
+    /// gone.
     pub fn take_over(&mut self, other: DnsSd) {
         self.current = other.current;
     }
 
-    /// The same with what another process had found.
+    /// Takes over the entries found by the predecessor process.
     pub fn set_current(&mut self, found: Vec<ListEntry>) {
         self.current = found;
     }
 
-    /// All that was found goes.
+    /// An update that reports every entry as gone.
     pub fn into_removed(self) -> ListUpdate {
         let mut entries = self.current;
         entries.iter_mut().for_each(|entry| entry.record.lifecycle = Lifecycle::Gone);
         ListUpdate { generation: 0, whole: false, entries }
     }
 
-    /// The entries as last found.
+    /// The entries found by the last complete lookup.
     pub fn current(&self) -> &[ListEntry] {
         &self.current
     }
 
-    /// Starts a lookup when the last one's records run out; ends one that takes too long.
+    /// Starts a lookup when the records of the last one expire; ends a lookup that takes too long.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
         if self.deadline.is_some_and(|deadline| deadline <= now) {
-            self.fail(now, "no answer");
+            self.fail(now, "timed out");
         }
         if self.deadline.is_some() || self.next_lookup_at > now {
             return;
@@ -116,13 +117,13 @@
         self.deadline.or(Some(self.next_lookup_at))
     }
 
-    /// The resolver's connection is ready: what has changed, once a lookup is whole.
+    /// Handles the resolver's connection when it is ready; returns the changes once a lookup is complete.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<ListUpdate> {
         let stream = self.stream.as_mut().filter(|_| token == self.token)?;
         let over = stream.ready(poll).is_err() || stream.ended;
         while let Some(message) = next_message(&mut stream.input) {
             let Some((id, records)) = read_message(&message) else {
-                self.fail(now, "an answer that is an error or cannot be read");
+                self.fail(now, "the resolver returned an error or a malformed answer");
                 return None;
             };
             if let Some(question) = self.pending.remove(&id) {
@@ -132,7 +133,7 @@
         }
         if !self.pending.is_empty() {
             if over {
-                self.fail(now, "the connection ended");
+                self.fail(now, "the resolver closed the connection");
             }
             return None;
         }
@@ -142,7 +143,7 @@
             return None;
         }
         if !more.is_empty() {
-            self.fail(now, "the connection ended");
+            self.fail(now, "the resolver closed the connection");
             return None;
         }
         Some(self.finish(now))
@@ -159,12 +160,12 @@
         }
         let sent = self.stream.as_mut().map(|stream| stream.send(poll, &out));
         if !matches!(sent, Some(Ok(()))) {
-            self.fail(now, "no connection");
+            self.fail(now, "cannot connect to the resolver");
         }
     }
 
-    fn fail(&mut self, now: Micros, why: &str) {
-        log!("dns-sd: lookup of {} failed, the last list stays: {why}", self.service);
+    fn fail(&mut self, now: Micros, reason: &str) {
+        log!("dns-sd: lookup of {} failed, keeping the last list: {reason}", self.service);
         self.reset();
         self.next_lookup_at = now.plus(FAILURE_BACKOFF);
     }
@@ -178,7 +179,7 @@
 
     fn instance_names(&self) -> Vec<String> {
         let of = |record: &Record| match &record.data {
-            // A record with no time to live is a goodbye.
+            // A record with a time to live of 0 is a goodbye.
             Data::Pointer(instance) if record.name == self.service && record.ttl > 0 => {
                 Some(instance.clone())
             }
@@ -208,7 +209,7 @@
         self.find(host, |data| if let Data::Address(address) = data { Some(*address) } else { None })
     }
 
-    /// What is still to be pending: additional records of earlier answers spare a question.
+    /// The queries still needed. Additional records of earlier answers make some queries unnecessary.
     fn open_questions(&self) -> Vec<(String, u16)> {
         let mut wanted = BTreeSet::new();
         for instance in self.instance_names() {
@@ -229,7 +230,7 @@
         wanted.into_iter().collect()
     }
 
-    /// A whole lookup: the entries, and as news what they change.
+    /// Ends a complete lookup and returns the changes to the entries.
     fn finish(&mut self, now: Micros) -> ListUpdate {
         let found: Vec<ListEntry> =
             self.instance_names().iter().filter_map(|instance| self.entry(instance)).collect();
@@ -265,7 +266,7 @@
     }
 }
 
-/// Takes a whole message from the front of what was read.
+/// Removes a complete message from the front of the input.
 fn next_message(input: &mut Vec<u8>) -> Option<Vec<u8>> {
     let length = usize::from(u16::from_be_bytes([*input.first()?, *input.get(1)?]));
     let message = input.get(2..2 + length)?.to_vec();
@@ -275,7 +276,7 @@
 
 fn write_question(id: u16, name: &str, kind: u16) -> Vec<u8> {
     let mut out = id.to_be_bytes().to_vec();
-    // Recursion desired; one question.
+    // Flags: recursion desired. Counts: one question.
     out.extend([1, 0, 0, 1, 0, 0, 0, 0, 0, 0]);
     for label in split_labels(name) {
         out.push(label.len().min(63) as u8);
@@ -287,7 +288,7 @@
     out
 }
 
-/// Labels of a name as text, where a dot within a label stands behind a backslash.
+/// Splits a name in text form into labels; a backslash escapes a dot within a label.
 fn split_labels(name: &str) -> Vec<String> {
     let (mut labels, mut label, mut escaped) = (Vec::new(), String::new(), false);
     for letter in name.chars() {
@@ -304,7 +305,7 @@
     labels.into_iter().filter(|label| !label.is_empty()).collect()
 }
 
-/// The number of an answer and its records; `None` for an error, or where it cannot be read.
+/// The id and records of an answer; `None` if the answer is an error, truncated or malformed.
 fn read_message(message: &[u8]) -> Option<(u16, Vec<Record>)> {
     let mut at = 0;
     let id = read_u16(message, &mut at)?;
@@ -352,7 +353,8 @@
     Some(u16::from_be_bytes([bytes[0], bytes[1]]))
 }
 
-/// A name, in lower case; pointers are followed backwards only, so that no message can make a loop.
+/// Reads a name in lower case. Compression pointers may only point backwards, so a message cannot form a
+/// loop.
 fn read_name(message: &[u8], at: &mut usize) -> Option<String> {
     let (mut text, mut from, mut jumped) = (String::new(), *at, false);
     loop {
@@ -388,7 +390,7 @@
     }
 }
 
-/// `key=value` strings of a TXT record; the first of a key counts, and keys have no case.
+/// Parses the `key=value` strings of a TXT record. Keys are case-insensitive; the first of equal keys counts.
 fn parse_text(mut bytes: &[u8]) -> Option<BTreeMap<String, String>> {
     let mut pairs = BTreeMap::new();
     while let Some((&length, rest)) = bytes.split_first() {
--- a/src/net/list/dns_sd/tests.rs
+++ b/src/net/list/dns_sd/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn a_name_that_points_at_itself_is_refused() {
+fn name_with_a_pointer_to_itself_is_malformed() {
     let mut message = vec![0, 1, 0x80, 0, 0, 0, 0, 1, 0, 0, 0, 0];
     message.extend([0xC0, 12, 0, 12, 0, 1]);
     assert_eq!(read_message(&message), None);
 }
 
 #[test]
-fn every_cut_of_a_message_is_refused_and_none_panics() {
+fn truncated_message_is_malformed_at_every_length() {
     let mut message = vec![0, 1, 0x80, 0, 0, 0, 0, 1, 0, 0, 0, 0];
     message.extend(b"\x01a\x07example\0\0\x21\0\x01\0\0\0\x3c\0\x0a\0\0\0\0\0\x50\x01b\xC0\x0e");
     let (id, records) = read_message(&message).unwrap();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_dot_within_a_label_survives() {
+fn escaped_dot_within_a_label_round_trips() {
     let asked = write_question(1, "play\\.count._x._tcp.example", PTR);
     let mut at = 12;
     assert_eq!(read_name(&asked, &mut at).unwrap(), "play\\.count._x._tcp.example");
--- a/src/net/list/mod.rs
+++ b/src/net/list/mod.rs
@@ -1,4 +1,4 @@
-//! Service entries: what the list says of real servers, from wherever it comes.
+//! The endpoint list: endpoint records from discovery, DNS-SD and other sources.
 
 pub mod dns_sd;
 pub mod round;
@@ -12,35 +12,35 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One service entry.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListEntry {
-    /// Its name.
+    /// The endpoint's name.
     pub name: String,
-    /// What the module sees of it.
+    /// The endpoint record that the engine works with.
     #[serde(rename = "member")]
     pub record: EndpointRecord,
-    /// Where it listens; absent in the news that it is gone.
+    /// The endpoint's address; absent in an update that reports the endpoint as gone.
     pub address: Option<SocketAddr>,
 }
 
-/// ListUpdate of the list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListUpdate {
-    /// Its version.
+    /// The list's version.
     pub generation: u64,
-    /// The whole list, not changes.
+    /// The entries are the complete list, not changes to it.
     pub whole: bool,
-    /// The entries.
+    /// The entries that are listed or have changed.
     pub entries: Vec<ListEntry>,
 }
 
-/// The list as it is held: what the news so far add up to.
+/// The current endpoint list: the result of all updates so far.
 #[derive(Debug, Default)]
 pub struct EndpointList(pub BTreeMap<EndpointId, ListEntry>);
 
 impl EndpointList {
-    /// Takes news in; of a whole list, who is missing is gone.
+    /// Applies an update. A complete list removes every endpoint that it does not contain.
     pub fn apply(&mut self, update: &ListUpdate) {
         if update.whole {
             self.0.clear();
@@ -55,7 +55,7 @@
     }
 }
 
-/// Names of kinds and zones, in the order of the settings.
+/// Names of destination kinds and zones, in the order of the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Names {
     /// Kinds of destination.
@@ -65,7 +65,7 @@
 }
 
 impl Names {
-    /// Where kinds and zones that stood in another order stand here; what is unknown here stands behind all.
+    /// Maps indices of kinds and zones in `before` to indices here. A name unknown here maps past the end.
     pub fn index_mapping(&self, before: &Names) -> crate::IndexMapping {
         let index_of =
             |here: &[String], name: &String| here.iter().position(|one| one == name).unwrap_or(here.len());
@@ -76,7 +76,7 @@
     }
 }
 
-/// The number of a real server: the same for the same name, in every process.
+/// The id of an endpoint: a hash of its name (FNV-1a), the same in every process.
 pub fn endpoint_id(name: &str) -> EndpointId {
     let hash = name
         .bytes()
@@ -84,17 +84,18 @@
     EndpointId(hash)
 }
 
-/// Reads discovery's form. An entry that cannot be read is left out; a list that cannot be read is an error.
+/// Parses discovery's JSON format. A malformed entry is left out; a malformed list is an error.
 pub fn read(value: &BorrowedValue, names: &Names) -> Option<ListUpdate> {
     let generation = value.get_u64("generation")?;
     let whole = value.get_bool("reset").unwrap_or(false);
-    let entries = value.get_array("instances")?.iter().filter_map(|one| parse_entry(one, names)).collect();
+    let entries =
+        value.get_array("instances")?.iter().filter_map(|instance| parse_entry(instance, names)).collect();
     Some(ListUpdate { generation, whole, entries })
 }
 
-/// Writes a whole list in discovery's form; [`read`] reads it back.
+/// Writes a complete list in discovery's JSON format; [`read`] parses it.
 pub fn write<'a>(generation: u64, entries: impl Iterator<Item = &'a ListEntry>, names: &Names) -> Vec<u8> {
-    let name = |known: &[String], index: usize| known.get(index).cloned().unwrap_or_default();
+    let name_at = |known: &[String], index: usize| known.get(index).cloned().unwrap_or_default();
     let instances: Vec<serde_json::Value> = entries
         .map(|ListEntry { name: id, record, address }| {
             let lifecycle = match record.lifecycle {
@@ -104,7 +105,7 @@
             };
             serde_json::json!({
                 "instanceId": id, "hostPort": address.map(|address| address.to_string()),
-                "zone": name(&names.zones, record.zone as usize), "machineType": name(&names.kinds, record.kind),
+                "zone": name_at(&names.zones, record.zone as usize), "machineType": name_at(&names.kinds, record.kind),
                 "cell": record.destination.0, "lifecycle": lifecycle, "weight": record.weight,
             })
         })
--- a/src/net/list/round.rs
+++ b/src/net/list/round.rs
@@ -1,6 +1,7 @@
-//! One clock for silence: what a watch asks next, how long it is waited for, and when the next call goes, whatever became of the
-//! last. A change counts as told 6 s after discovery had it and could be reached, so a call that is waited for, the pause behind
-//! it and the next one's answer fit into that, after each kind of failure and for any size of the fleet. No I/O.
+//! Timing of the discovery watch: what the next call asks for, its time-out, and the delay before it after
+//! each result of the last call. A change must be known 6 s after discovery had it and was reachable. The
+//! time-out of a call, the backoff after it and the next call's answer therefore fit into 6 s, for each kind
+//! of failure and any fleet size. No I/O.
 
 use super::spread::CallSpread;
 use crate::Micros;
@@ -8,91 +9,91 @@
 #[cfg(test)]
 mod tests;
 
-/// How long discovery may hold a call that has nothing to tell...
+/// How long discovery may hold a call while there is no change.
 const MAX_HOLD: Micros = Micros(4_000_000);
-/// ...and the first one of a start, whose watch may be silent from its first moment.
+/// The hold of the first call after a start: that watch may be silent from its first moment.
 const FIRST_CALL_HOLD: Micros = Micros(2_000_000);
-/// An agent that is silent for so long beyond a hold is asked anew, on a new connection...
+/// A held call without an answer this long after its hold has timed out; the next call uses a new connection.
 const HOLD_GRACE: Micros = Micros(300_000);
-/// ...by a call that it answers at once, within so long...
+/// Time-out of a call that discovery answers at once.
 const ANSWER_TIMEOUT: Micros = Micros(1_000_000);
-/// ...or, where several got no answer, so long: it may be there and slow.
+/// The same after several calls without an answer: discovery may be reachable but slow.
 const SLOW_ANSWER_TIMEOUT: Micros = Micros(2_500_000);
-/// So many calls without an answer make it slow, or away; until then it is asked again soon.
+/// After this many time-outs in a row discovery counts as slow or down; until then the retry follows soon.
 const QUICK_RETRIES: u32 = 2;
 
-/// Where the watch stands.
+/// State of the watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// No call is out.
+    /// No call is in progress.
     #[default]
     Idle,
-    /// One is out that is to be answered at once.
+    /// A call that is to be answered at once is in progress.
     Immediate,
-    /// One is out that may be held.
+    /// A call that discovery may hold is in progress.
     Held,
-    /// So many calls in a row got no answer that can be used; the next is asked without a hold.
+    /// This many calls in a row got no usable answer; the next one is sent without a hold.
     Failed(u32),
 }
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFailure {
-    /// No answer in its time.
+    /// No answer before the time-out.
     TimedOut,
-    /// Its connection was refused, reset or closed, or the answer cannot be read.
+    /// The connection was refused, reset or closed, or the answer is malformed.
     Broken,
-    /// Discovery is too busy.
+    /// Discovery answered that it is too busy.
     Rejected,
 }
 
-/// A call to be made: how long it may be held, and when it counts as unanswered.
+/// The next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchCall {
-    /// How long discovery may hold it.
+    /// How long discovery may hold it; 0 asks for an answer at once.
     pub hold: Micros,
-    /// How long it is waited for.
+    /// When it counts as unanswered.
     pub timeout: Micros,
 }
 
-/// See the module's text.
+/// Decides what the watch sends and when.
 pub struct WatchSchedule {
     spread: CallSpread,
     stage: Stage,
     failures: u32,
     rejected: bool,
-    /// A call was answered: the watch goes on.
+    /// A call of this watch has been answered.
     established: bool,
 }
 
 impl WatchSchedule {
-    /// Nothing asked yet.
+    /// Creates the schedule of a watch that has not sent a call yet.
     pub fn new(spread: CallSpread) -> WatchSchedule {
         WatchSchedule { spread, stage: Stage::Idle, failures: 0, rejected: false, established: false }
     }
 
-    /// Where it stands.
+    /// The current state.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How long after the start the first call waits.
+    /// Delay from the start to the first call.
     pub fn start_delay(&mut self) -> Micros {
         self.spread.start_delay()
     }
 
-    /// The watch of a process before goes on: how long its next call waits.
+    /// Continues the predecessor process's watch; returns the delay before the next call.
     pub fn resume(&mut self) -> Micros {
         self.established = true;
         self.spread.next_call_delay()
     }
 
-    /// Another discovery: nothing is known of it.
+    /// Forgets all results: discovery has moved to another address.
     pub fn reset(&mut self) {
         (self.stage, self.failures, self.rejected, self.established) = (Stage::Idle, 0, false, false);
     }
 
-    /// The next call goes out; with a list known, it may be one that waits for changes.
+    /// Begins the next call. If a list is known, discovery may hold the call until there is a change.
     pub fn next_call(&mut self, list_known: bool) -> WatchCall {
         let hold = match (list_known, self.failures, self.established) {
             (true, 0, true) => MAX_HOLD,
@@ -108,18 +109,19 @@
         WatchCall { hold, timeout }
     }
 
-    /// A list has come: how long the next call waits.
+    /// A list has been received; returns the delay before the next call.
     pub fn answered(&mut self) -> Micros {
         (self.stage, self.failures, self.rejected, self.established) = (Stage::Idle, 0, false, true);
         self.spread.next_call_delay()
     }
 
-    /// No list has come: how long the next call waits.
+    /// The call returned no list; returns the delay before the next call.
     pub fn failed(&mut self, failure: WatchFailure) -> Micros {
         self.failures = self.failures.saturating_add(1);
         (self.stage, self.rejected) = (Stage::Failed(self.failures), failure == WatchFailure::Rejected);
         match failure {
-            // Watches that fell silent in one moment were begun in many: all asked anew soon, they are spread as they were.
+            // Watches that fall silent in the same moment were begun at different times, so their retries are
+            // already spread although each follows soon.
             WatchFailure::TimedOut if self.failures <= QUICK_RETRIES => self.spread.timeout_backoff(),
             WatchFailure::TimedOut | WatchFailure::Broken => self.spread.failure_backoff(),
             WatchFailure::Rejected => self.spread.rejection_backoff(),
--- a/src/net/list/spread.rs
+++ b/src/net/list/spread.rs
@@ -1,36 +1,41 @@
-//! When discovery is asked: what one forwarder does at once, all of them do in that moment. A hundred that start
-//! together, hear of one change together, or are turned away together ask again at moments of their own, drawn from
-//! the instance's seed; and the more forwarders there are, the longer a list that cannot be had is waited for. Small fleets
-//! ask at once, as before.
+//! Random delays of discovery calls. All forwarders of a fleet react to the same event in the same moment: a
+//! hundred may start together, receive one change together, or be rejected together. Each one therefore draws
+//! its delay from the instance's seed. The larger the fleet, the longer the backoff after a failure. Small
+//! fleets call almost at once.
 
 use crate::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Discovery is taken to serve one more sender in this time: a fleet's calls are spread over as many.
+// All times here are in microseconds.
+
+/// Time in which discovery is assumed to serve one more forwarder: a fleet's calls are spread over this times
+/// its size.
 const DELAY_PER_FORWARDER: u64 = 10_000;
-/// The first call after a start comes within this time, however many there are.
+/// Upper bound of the delay of the first call after a start, for any fleet size.
 const MAX_START_DELAY: u64 = 1_500_000;
-/// A watch goes on where the next call comes within 200 ms of the answer: well before.
+/// Upper bound of the delay between an answer and the next call of a watch. Discovery counts a watch as
+/// continued if the next call comes within 200 ms of the answer.
 const MAX_NEXT_CALL_DELAY: u64 = 120_000;
-/// The first pause after a failure is drawn from up to this, and doubles...
+/// The first backoff after a failure is drawn from up to this; the bound doubles with each failure.
 const FIRST_BACKOFF: u64 = 200_000;
-/// ...up to this in a small fleet...
+/// Upper bound of the backoff in a small fleet.
 const MAX_BACKOFF: u64 = 1_000_000;
-/// ...and this in a large one: with the next call's answer, it stays within the 6 s after which a change counts as told.
+/// Upper bound in a large fleet: with the next call's answer, a change is still known within the required 6
+/// s.
 const MAX_FLEET_BACKOFF: u64 = 2_500_000;
-/// The first calls after silence go within this time.
+/// Upper bound of the backoff after the first time-outs.
 const MAX_TIMEOUT_BACKOFF: u64 = 200_000;
-/// A discovery that turns calls away is overbooked, and calls that it turns away may keep it so: each of a fleet draws its pause
-/// from up to so much for each sender, and from no less than half of it...
+/// A discovery that rejects calls is overloaded, and the rejected calls may keep it overloaded. The backoff
+/// is drawn from between half of this times the fleet size and the whole.
 const REJECTION_BACKOFF_PER_FORWARDER: u64 = 80_000;
-/// ...up to this, for the same reason.
+/// Upper bound of the backoff after a rejection; the same 6 s limit applies.
 const MAX_REJECTION_BACKOFF: u64 = 4_500_000;
-/// No pause is shorter.
+/// Lower bound of every backoff.
 const MIN_BACKOFF: u64 = 20_000;
 
-/// The moments of one forwarder.
+/// Draws the delays of one forwarder.
 pub struct CallSpread {
     random: fastrand::Rng,
     forwarders: u64,
@@ -38,7 +43,7 @@
 }
 
 impl CallSpread {
-    /// For one of so many forwarders.
+    /// Creates the delays of one of `forwarders` forwarders.
     pub fn new(forwarders: u32, seed: u64) -> CallSpread {
         CallSpread { random: fastrand::Rng::with_seed(seed), forwarders: u64::from(forwarders), failures: 0 }
     }
@@ -47,36 +52,36 @@
         Micros(self.random.u64(0..=max))
     }
 
-    /// The time that all siblings need if one follows the other; none for one alone.
+    /// Time that the other forwarders' calls take one after the other; 0 for a single forwarder.
     fn fleet_time(&self) -> u64 {
         DELAY_PER_FORWARDER * self.forwarders.saturating_sub(1)
     }
 
-    /// How long after the start the first call waits.
+    /// Delay from the start to the first call.
     pub fn start_delay(&mut self) -> Micros {
         self.random_up_to(self.fleet_time().min(MAX_START_DELAY))
     }
 
-    /// How long after an answer the next call of a watch waits.
+    /// Delay from an answer to the next call of a watch.
     pub fn next_call_delay(&mut self) -> Micros {
         self.failures = 0;
         self.random_up_to(self.fleet_time().min(MAX_NEXT_CALL_DELAY))
     }
 
-    /// How long after the first silence the next call waits.
+    /// Delay before the next call after one of the first time-outs.
     pub fn timeout_backoff(&mut self) -> Micros {
         self.failures += 1;
         self.random_up_to(MAX_TIMEOUT_BACKOFF - MIN_BACKOFF).plus(Micros(MIN_BACKOFF))
     }
 
-    /// How long after a call that failed the next one waits.
+    /// Delay before the next call after a failed call.
     pub fn failure_backoff(&mut self) -> Micros {
         let limit = MAX_BACKOFF.max(4 * self.fleet_time()).min(MAX_FLEET_BACKOFF);
         let max = self.doubled(FIRST_BACKOFF.max(self.fleet_time()), limit);
         self.random_up_to(max - MIN_BACKOFF).plus(Micros(MIN_BACKOFF))
     }
 
-    /// How long after a call that was turned away the next one waits.
+    /// Delay before the next call after a rejected call.
     pub fn rejection_backoff(&mut self) -> Micros {
         let fleet = REJECTION_BACKOFF_PER_FORWARDER.saturating_mul(self.forwarders.saturating_sub(1));
         let limit = MAX_BACKOFF.max(fleet.saturating_mul(4)).min(MAX_REJECTION_BACKOFF);
@@ -84,7 +89,7 @@
         self.random_up_to(max / 2).plus(Micros(max - max / 2))
     }
 
-    /// A bound that doubles with each failure.
+    /// Doubles `first` with each failure, up to `limit`, and counts the failure.
     fn doubled(&mut self, first: u64, limit: u64) -> u64 {
         let first = first.min(limit);
         let max = first.saturating_mul(1 << self.failures.min(16)).min(limit);
--- a/src/net/list/watch.rs
+++ b/src/net/list/watch.rs
@@ -1,5 +1,5 @@
-//! The discovery watch: each call goes out soon after the answer before it, at a moment of this forwarder's own. What is asked
-//! next and when is decided in `round`.
+//! The discovery watch: each call is sent soon after the answer to the previous one, after a random delay of
+//! this forwarder. `round` decides what the next call asks for and when it is sent.
 
 use super::round::{WatchFailure, WatchSchedule};
 use super::spread::CallSpread;
@@ -10,22 +10,22 @@
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// See the module's text.
+/// Long-polls discovery for changes of the endpoint list.
 pub struct DiscoveryWatch {
     caller: Caller,
     host: String,
     names: Names,
-    /// Version of the list held; none makes the next call ask for the whole list.
+    /// Version of the current list; without one, the next call asks for the complete list.
     generation: Option<u64>,
-    /// Discovery may be asked: with a membership, a few of a fleet's members do.
+    /// This forwarder may call discovery. In a fleet with a membership, only a few members do.
     pub enabled: bool,
-    /// Calls begun since the start.
+    /// Number of calls since the start.
     pub calls: u64,
     schedule: WatchSchedule,
 }
 
 impl DiscoveryWatch {
-    /// Goes on from the version held; without one, asks at once.
+    /// Starts from the version of the current list; without one, the first call is sent at once.
     pub fn new(
         address: SocketAddr,
         names: Names,
@@ -48,23 +48,25 @@
         }
     }
 
-    /// Goes on with the watch of a process before: its next call is due soon after that one's last answer.
+    /// Continues the predecessor process's watch: the next call follows soon after that process's last
+    /// answer.
     pub fn resume(&mut self, now: Micros) {
         let delay = self.schedule.resume();
         self.caller.back_off(now, delay);
     }
 
-    /// Version of the list held.
+    /// Version of the current list.
     pub fn generation(&self) -> Option<u64> {
         self.generation
     }
 
-    /// Another member gave this version of the list: the next call asks for changes since.
+    /// Sets the version of a list received from another member: the next call asks for changes since that
+    /// version.
     pub fn set_generation(&mut self, generation: u64) {
         self.generation = Some(generation);
     }
 
-    /// Goes on at another address. Its versions may be counted differently, so the whole list is asked for.
+    /// Moves to another address. Its versions may be counted differently, so the complete list is requested.
     pub fn move_to(&mut self, address: SocketAddr) {
         if self.caller.move_to(address) {
             (self.host, self.generation) = (address.to_string(), None);
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Sends the next call if none is out.
+    /// Sends the next call if none is in progress.
     pub fn tick(&mut self, poll: &mut Poll, now: Micros) {
         if let Some(failure) = self.caller.take_failure(now) {
             let failure = match failure {
@@ -80,7 +82,7 @@
                 Failure::TimedOut => WatchFailure::TimedOut,
             };
             let delay = self.schedule.failed(failure);
-            log!("discovery: no answer, asking again in {} ms", delay.0 / 1000);
+            log!("discovery: no answer, retrying in {} ms", delay.0 / 1000);
             self.caller.back_off(now, delay);
         }
         if !self.enabled || !self.caller.is_ready(now) {
@@ -101,30 +103,34 @@
         self.caller.due(self.enabled)
     }
 
-    /// ListUpdate, if an answer has come.
+    /// Handles the connection when it is ready; returns the update once a list has been received.
     pub fn ready(&mut self, poll: &mut Poll, token: u64, now: Micros) -> Option<ListUpdate> {
         let Response { status, mut body, .. } = self.caller.ready(poll, token)?;
-        let news = (status == 200)
+        let update = (status == 200)
             .then(|| simd_json::to_borrowed_value(&mut body).ok())
             .flatten()
             .and_then(|value| read(&value, &self.names));
-        let delay = match &news {
-            Some(news) => {
-                self.generation = Some(news.generation);
+        let delay = match &update {
+            Some(update) => {
+                self.generation = Some(update.generation);
                 self.schedule.answered()
             }
             None => {
-                let busy = status == 429 || status >= 500;
-                let delay =
-                    self.schedule.failed(if busy { WatchFailure::Rejected } else { WatchFailure::Broken });
-                log!("discovery: answer {status} brings no list, asking again in {} ms", delay.0 / 1000);
-                // Too busy, it knows the version all the same: the whole list would cost it more.
+                let overloaded = status == 429 || status >= 500;
+                let delay = self.schedule.failed(if overloaded {
+                    WatchFailure::Rejected
+                } else {
+                    WatchFailure::Broken
+                });
+                log!("discovery: status {status} without a usable list, retrying in {} ms", delay.0 / 1000);
+                // A server that is too overloaded (5xx) still knows the version: the complete list would cost
+                // it more.
                 self.generation = self.generation.filter(|_| status >= 500);
                 delay
             }
         };
         self.caller.back_off(now, delay);
         self.tick(poll, now);
-        news
+        update
     }
 }
