--- a/src/net/caller.rs
+++ b/src/net/caller.rs
@@ -1,5 +1,5 @@
-//! One kept connection on which requests of the forwarder's own go out, one at a time: for the discovery watch and
-//! for notices.
+//! A client with one persistent connection that sends one request at a time; used for the discovery watch and
+//! for delivery reports.
 
 use super::http::{self, Parsed, Response};
 use super::poll::{Peer, Poll};
@@ -7,38 +7,38 @@
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Pause before a new try after a failure.
+/// Delay before the next request after a failure.
 const FAILURE_BACKOFF: Micros = Micros(100_000);
-/// An answer that has begun in time may take so long more: long ones come in pieces.
+/// Extra time for an answer that has begun before its time-out: long answers arrive in pieces.
 const STARTED_ANSWER_GRACE: Micros = Micros(1_000_000);
 
-/// How a request got no answer.
+/// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its connection was refused, reset or closed, or what came cannot be read.
+    /// The connection was refused, reset or closed, or the answer is malformed.
     Broken,
-    /// Its time is up.
+    /// The answer did not arrive before the time-out.
     TimedOut,
 }
 
-/// See the module's text.
+/// An HTTP client with one persistent connection.
 pub struct Caller {
     peer: Peer,
     address: SocketAddr,
     stream: Option<Stream>,
     token: u64,
-    /// When the request that is out counts as unanswered.
+    /// When the current request counts as unanswered.
     deadline: Option<Micros>,
     next_call_at: Micros,
 }
 
 impl Caller {
-    /// Not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(peer: Peer, address: SocketAddr) -> Caller {
         Caller { peer, address, stream: None, token: 0, deadline: None, next_call_at: Micros(0) }
     }
 
-    /// Goes on at another address, at once; whatever is out is dropped. Tells whether it is another.
+    /// Moves to another address and drops the current request. Returns whether the address has changed.
     pub fn move_to(&mut self, address: SocketAddr) -> bool {
         let moved = address != self.address;
         if moved {
@@ -47,22 +47,22 @@
         moved
     }
 
-    /// No request goes out for so long.
+    /// Sends no request for the given time.
     pub fn back_off(&mut self, now: Micros, backoff: Micros) {
         self.next_call_at = now.plus(backoff);
     }
 
-    /// A request may go out now.
+    /// Whether a request may be sent now.
     pub fn is_ready(&self, now: Micros) -> bool {
         self.deadline.is_none() && now >= self.next_call_at
     }
 
-    /// When something is due: a new try, or the end of waiting.
+    /// When the next action is due: a new request, or the time-out of the current one.
     pub fn due(&self, has_work: bool) -> Option<Micros> {
         self.answer_deadline().or(has_work.then_some(self.next_call_at))
     }
 
-    /// When the request that is out counts as unanswered.
+    /// When the current request counts as unanswered.
     fn answer_deadline(&self) -> Option<Micros> {
         let begun = self.stream.as_ref().is_some_and(|stream| !stream.input.is_empty());
         self.deadline.map(|deadline| {
@@ -74,7 +74,8 @@
         })
     }
 
-    /// Sends a request and waits for it deadline then. Whatever goes wrong shows as a failure later.
+    /// Sends a request and waits for its answer until `deadline`. A failure to send is reported by
+    /// `take_failure`.
     pub fn send(&mut self, poll: &mut Poll, request: &[u8], deadline: Micros) {
         self.deadline = Some(deadline);
         if self.stream.is_none() {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The socket is ready: the answer, once it is whole.
+    /// Handles the connection when it is ready; returns the answer once it is complete.
     pub fn ready(&mut self, poll: &Poll, token: u64) -> Option<Response> {
         let stream = self.stream.as_mut().filter(|_| token == self.token)?;
         let broke = stream.ready(poll).is_err();
@@ -110,7 +111,7 @@
         None
     }
 
-    /// Whether the request that is out has failed, and how; a new one may go after a backoff.
+    /// Whether and how the current request has failed; the next one may be sent after a backoff.
     pub fn take_failure(&mut self, now: Micros) -> Option<Failure> {
         let deadline = self.answer_deadline().filter(|&deadline| deadline <= now)?;
         (self.stream, self.deadline) = (None, None);
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! What the forwarder is settings_value at its start: the JSON file named by `PROXY_CONFIG`, read at the start and at SIGHUP.
+//! The platform's configuration: the JSON file named by `PROXY_CONFIG`, read at the start and at SIGHUP.
 
 use super::list::{self, ListUpdate, Names};
 use crate::config::model::PlatformConfig;
@@ -9,18 +9,18 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What [`load`] reads.
+/// The platform's configuration as read by [`load`].
 #[derive(Clone)]
 pub struct Config {
-    /// The folder that lasts.
+    /// The state folder.
     pub state_folder: PathBuf,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The list as last held.
+    /// The endpoint list as last known.
     pub known: Option<ListUpdate>,
-    /// Where operators' staff call.
+    /// Address of the listener for operators' calls.
     pub ops_address: Option<SocketAddr>,
-    /// All that operators can set too.
+    /// The settings that operators can also set.
     pub platform: PlatformConfig,
 }
 
@@ -30,12 +30,12 @@
     let bytes = std::fs::read(&path).map_err(|problem| format!("{path}: {problem}"))?;
     let state_folder = std::env::var("PROXY_STATE").map_err(|_| "PROXY_STATE is not set".to_owned())?;
     let mut config = parse(bytes, state_folder.into()).map_err(|problem| format!("{path}: {problem}"))?;
-    // It belongs to this process, while one that follows it may be given the same file.
+    // The environment belongs to this process; a successor may be given the same file.
     if let Some(text) = std::env::var("PROXY_ADMIN_ADDR").ok().filter(|text| !text.is_empty()) {
         match text.parse() {
             Ok(address) => config.ops_address = Some(address),
             Err(_) => {
-                log!("PROXY_ADMIN_ADDR: \"{text}\" is no address: write IP:PORT; admin_addr of {path} counts")
+                log!("PROXY_ADMIN_ADDR: \"{text}\" is not an address: write IP:PORT; using admin_addr of {path}")
             }
         }
     }
@@ -47,19 +47,19 @@
 }
 
 fn text(value: &BorrowedValue, key: &str) -> Result<String, String> {
-    value.get_str(key).map(str::to_owned).ok_or_else(|| format!("{key} is missing: add it, as a text"))
+    value.get_str(key).map(str::to_owned).ok_or_else(|| format!("{key} is missing: add it as a string"))
 }
 
 fn address(value: &BorrowedValue, key: &str) -> Result<SocketAddr, String> {
     let text = text(value, key)?;
-    text.parse().map_err(|_| format!("{key}: \"{text}\" is no address: write IP:PORT"))
+    text.parse().map_err(|_| format!("{key}: \"{text}\" is not an address: write IP:PORT"))
 }
 
-/// Reads the file's text.
+/// Parses the file's text.
 pub fn parse(mut bytes: Vec<u8>, state_folder: PathBuf) -> Result<Config, String> {
     let value = simd_json::to_borrowed_value(&mut bytes).map_err(|problem| problem.to_string())?;
     let settings_value =
-        value.get("settings").ok_or("settings is missing: add the object that the platform tells")?;
+        value.get("settings").ok_or("settings is missing: add the object that the platform provides")?;
     let mut pairs = BTreeMap::new();
     flatten(settings_value, "", &mut pairs);
     let settings = settings::from_pairs(pairs.iter().map(|(path, text)| (path.as_str(), text.as_str())))?;
@@ -79,7 +79,7 @@
     let known = value.get("known").and_then(|known| {
         let read = list::read(known, &names);
         if read.is_none() {
-            log!("known: no list in discovery's form, so none is known: the process serves once discovery tells one");
+            log!("known: not a list in discovery's format, ignored: the process serves once discovery provides a list");
         }
         read
     });
@@ -97,7 +97,7 @@
     let ops_address = value.get_str("admin_addr").filter(|text| !text.is_empty()).and_then(|text| {
         let address = text.parse().ok();
         if address.is_none() {
-            log!("admin_addr: \"{text}\" is no address: write IP:PORT; nobody listens for operators' calls");
+            log!("admin_addr: \"{text}\" is not an address: write IP:PORT; operators' calls are not served");
         }
         address
     });
@@ -105,7 +105,8 @@
     Ok(Config { state_folder, seed, known, ops_address, platform })
 }
 
-/// Nested JSON as pairs of path and text: lists of plain values joined by commas, lists of objects counted.
+/// Flattens nested JSON to pairs of path and text: lists of scalars are joined by commas, lists of objects
+/// counted.
 fn flatten(value: &BorrowedValue, path: &str, pairs: &mut BTreeMap<String, String>) {
     let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     if let Some(object) = value.as_object() {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,24 +1,24 @@
-//! HTTP/1.1: requests and answers, read from and written to byte buffers.
+//! HTTP/1.1: parses requests and responses from byte buffers and writes them.
 
-/// Longest head of a request or an answer.
+/// Largest head (start line and headers) of a request or a response.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest body of a request.
+/// Largest body of a request.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longest body of an answer to a call.
+/// Largest body of a response to a call.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// The same where a whole list of service entries may come.
+/// Largest body of a response that may carry a complete endpoint list.
 pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
-/// Bytes of empty lines before a request at max_body.
+/// Largest number of bytes in empty lines before a request.
 const MAX_EMPTY_LINE_BYTES: usize = 64;
-/// Interim answers before the real one at max_body.
+/// Largest number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: usize = 16;
 
-/// Headers in order, names as sent.
+/// Headers in order, with the names as sent.
 #[derive(Debug, Default, PartialEq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The first header of a name, whatever its case.
+    /// The value of the first header with this name, ignoring case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
@@ -28,7 +28,8 @@
         self.0.iter().any(|(known, value)| known.eq_ignore_ascii_case(name) && listed(value))
     }
 
-    /// The body's length. Two that differ are an error, and so is what is no number.
+    /// The body's length. Differing `Content-Length` values are an error, and so is a value that is not a
+    /// number.
     fn length(&self) -> Result<Option<usize>, ()> {
         let mut length = None;
         for (_, value) in self.0.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length")) {
@@ -45,7 +46,7 @@
 /// A request.
 #[derive(Debug, PartialEq)]
 pub struct Request {
-    /// GET, POST...
+    /// The method, such as GET or POST.
     pub method: String,
     /// Path and query as sent.
     pub target: String,
@@ -53,25 +54,26 @@
     pub headers: Headers,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection ends after the answer.
+    /// The connection closes after the response.
     pub close: bool,
 }
 
-/// Where reading stands.
+/// The result of parsing.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// More bytes are needed. The peer may be waiting for `100 Continue`.
+    /// More bytes are needed.
     Partial {
-        /// It is.
+        /// The peer waits for `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// Whole, and how many bytes it took.
+    /// A complete message, and the number of bytes it used.
     Complete(T, usize),
-    /// Cannot be read: the status to answer with.
+    /// The message is malformed or too large; carries the status to respond with.
     Invalid(u16),
 }
 
-/// Start line and headers, and where the body begins. `None` while the head is not whole.
+/// Parses the start line and headers; also returns the offset of the body. `None` while the head is
+/// incomplete.
 fn parse_head(input: &[u8]) -> Result<Option<(&str, Headers, usize)>, u16> {
     let end = input.windows(4).take(MAX_HEAD_BYTES).position(|four| four == b"\r\n\r\n");
     let Some(end) = end else {
@@ -92,23 +94,23 @@
     Ok(Some((start, Headers(headers), end + 4)))
 }
 
-/// Reads a request from the front of `input`.
+/// Parses a request from the front of `input`.
 pub fn parse_request(input: &[u8]) -> Parsed<Request> {
     parse_request_within(input, MAX_BODY_BYTES)
 }
 
-/// The same with another bound of the body.
+/// Like [`parse_request`], with another limit for the body.
 pub fn parse_request_within(input: &[u8], max_body: usize) -> Parsed<Request> {
     parse_any_request(input, max_body, true)
 }
 
-/// The same where a method that usually carries a body need not tell its length: none told means none.
+/// Like [`parse_request_within`], but a POST, PUT or PATCH without `Content-Length` has an empty body.
 pub fn parse_call(input: &[u8], max_body: usize) -> Parsed<Request> {
     parse_any_request(input, max_body, false)
 }
 
 fn parse_any_request(input: &[u8], max_body: usize, length_required: bool) -> Parsed<Request> {
-    // Empty lines before a request are let pass.
+    // Empty lines before a request are ignored.
     let skipped = input.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
     if skipped > MAX_EMPTY_LINE_BYTES {
         return Parsed::Invalid(400);
@@ -135,7 +137,8 @@
         Ok(length) => length,
         Err(()) => return Parsed::Invalid(400),
     };
-    // With both, another reader may take the body to end elsewhere, and what it hides for a request of its own.
+    // With both headers, another parser may find a different end of the body: what follows could be smuggled
+    // in as a request of its own.
     if headers.get("transfer-encoding").is_some() && length.is_some() {
         return Parsed::Invalid(400);
     }
@@ -154,7 +157,7 @@
     Parsed::Complete(Request { method, target, headers, body, close }, skipped + at + length)
 }
 
-/// An answer.
+/// A response.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     /// Its status.
@@ -163,11 +166,11 @@
     pub headers: Headers,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection ends after it.
+    /// The connection closes after it.
     pub close: bool,
 }
 
-/// The status of the real answer, once its first line is whole; interim answers before it are skipped.
+/// The status of the final response once its status line is complete; interim responses are skipped.
 pub fn response_status(mut input: &[u8]) -> Option<u16> {
     for _ in 0..=MAX_INTERIM_RESPONSES {
         let end = input.iter().position(|&byte| byte == b'\n')?;
@@ -180,8 +183,8 @@
     None
 }
 
-/// Headers of the real answer whose lines have come whole, though its head may not have; interim answers before it are
-/// skipped. Empty where what has come is no answer.
+/// The complete header lines of the final response, even if its head is incomplete; interim responses are
+/// skipped. Empty if the input is not a response.
 pub fn complete_headers(mut input: &[u8]) -> Headers {
     for _ in 0..=MAX_INTERIM_RESPONSES {
         let Some(line_end) = input.iter().position(|&byte| byte == b'\n') else { break };
@@ -198,7 +201,7 @@
     Headers::default()
 }
 
-/// The headers of a head's whole lines, to its end or to what cannot be read.
+/// Parses the complete lines of a head, up to its end or to the first malformed line.
 fn parse_complete_lines(head: &[u8]) -> Headers {
     let head = &head[..head.len().min(MAX_HEAD_BYTES)];
     let whole = head.split_inclusive(|&byte| byte == b'\n').map_while(|line| line.strip_suffix(b"\r\n"));
@@ -209,7 +212,7 @@
     Headers(headers.collect())
 }
 
-/// Whether this may still become an answer: noise is known by its first bytes.
+/// Whether the input may still become a response. Noise fails on its first bytes.
 fn may_be_response(input: &[u8]) -> bool {
     input.iter().zip(b"HTTP/1.").all(|(byte, wanted)| byte == wanted)
 }
@@ -220,8 +223,8 @@
     code.parse().ok().filter(|number: &u16| code.len() == 3 && *number >= 100)
 }
 
-/// Reads an answer from the front of `input`, its body no longer than `max_body`; `ended` tells that no more will come.
-/// Interim answers before it are skipped.
+/// Parses a response from the front of `input` with a body of at most `max_body` bytes; `ended` means that no
+/// more bytes will come. Interim responses are skipped.
 pub fn parse_response(input: &[u8], ended: bool, max_body: usize) -> Parsed<Response> {
     let mut skipped = 0;
     for _ in 0..=MAX_INTERIM_RESPONSES {
@@ -248,7 +251,7 @@
     Parsed::Invalid(400)
 }
 
-/// The same behind the head: how long the body is, and whether it is all there.
+/// Parses the rest of a response after its head: finds the body's length and whether it is complete.
 fn parse_final_response(
     status: u16,
     headers: Headers,
@@ -285,7 +288,7 @@
     Parsed::Complete(Response { status, headers, body, close }, used)
 }
 
-/// A chunked body, and how many bytes it took; `None` while it is not whole.
+/// A chunked body and the number of bytes it used; `None` while it is incomplete.
 fn parse_chunks(input: &[u8], max_body: usize) -> Result<Option<(Vec<u8>, usize)>, ()> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
@@ -310,7 +313,7 @@
     }
 }
 
-/// Writes an answer.
+/// Writes a response.
 pub fn write_response(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
@@ -325,7 +328,7 @@
     out
 }
 
-/// Writes a request; `headers` are whole lines, each with its CRLF.
+/// Writes a request; `headers` are complete lines, each with its CRLF.
 pub fn write_request(method: &str, target: &str, host: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     let mut out = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n{headers}{length}\r\n").into_bytes();
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_cut_of_a_message_is_partial() {
+fn truncated_message_is_partial_at_every_length() {
     let whole = b"POST /api HTTP/1.1\r\nRequest-Id: a\r\nContent-Length: 3\r\n\r\nabc";
     for cut in 0..whole.len() {
         assert_eq!(parse_request(&whole[..cut]), Parsed::Partial { expects_continue: false }, "cut at {cut}");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_is_refused() {
+fn ambiguous_request_is_rejected() {
     let bad =
         |text: &str, status| assert_eq!(parse_request(text.as_bytes()), Parsed::Invalid(status), "{text}");
     bad("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", 400);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn interim_answers_are_skipped_and_the_first_line_is_told_early() {
+fn interim_responses_are_skipped_and_the_status_is_known_from_the_first_line() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
     assert!(matches!(parse_response(text, false, 0), Parsed::Complete(answer, 49..) if answer.status == 204));
     assert_eq!(response_status(text), Some(204));
@@ -44,9 +44,9 @@
     assert_eq!(response_status(b"HTTP/1.1 2000 OK\r\n"), None);
 }
 
-/// Each of these once was waited for to the end of the call's time, or read without a bound.
+/// Guards against waiting for such a response until the call's time-out, or reading it without a limit.
 #[test]
-fn a_spoilt_answer_is_known_at_once() {
+fn malformed_response_is_detected_at_once() {
     let bad = |bytes: &[u8]| assert_eq!(parse_response(bytes, false, 8), Parsed::Invalid(400), "{bytes:?}");
     bad(b"\x00\xffnoise");
     bad(b"HTTP/2");
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,5 +1,5 @@
-//! LineFormat for those on call, on standard error, at most so many a second from each place in the code. They go through
-//! `tracing`; the least severe level and the form, text or JSON, can be changed while the process runs.
+//! Log lines on standard error, rate-limited for each call site. They go through `tracing`. The least severe
+//! level and the form, text or JSON, can be changed while the process runs.
 
 use crate::config::document::{Form, Level};
 use std::fmt;
@@ -12,14 +12,14 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::Layer;
 
-/// LineFormat that one place may write within a second.
+/// Limit for each call site.
 const MAX_LINES_PER_SECOND: u64 = 10;
 
 static JSON: AtomicBool = AtomicBool::new(false);
-/// The least severe level: 1 for errors to 4 for each step.
+/// The least severe level that is logged: 1 for errors to 4 for debug.
 static LEVEL: AtomicU8 = AtomicU8::new(3);
 
-/// Counts the lines of one place in the code.
+/// Limits the lines of one call site.
 pub struct LineLimiter {
     second: AtomicU64,
     lines: AtomicU64,
@@ -27,13 +27,14 @@
 }
 
 impl LineLimiter {
-    /// Nothing written yet.
+    /// Creates a limiter that has not admitted a line yet.
     #[allow(clippy::new_without_default)]
     pub const fn new() -> LineLimiter {
         LineLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0), dropped: AtomicU64::new(0) }
     }
 
-    /// Whether a line may be written in this second and, if so, how many were left out before it.
+    /// Admits a line in this second unless the limit is reached; returns how many lines were dropped before
+    /// it.
     pub fn admit(&self, second: u64) -> Option<u64> {
         if self.second.swap(second, Relaxed) != second {
             self.lines.store(0, Relaxed);
@@ -46,12 +47,12 @@
     }
 }
 
-/// Whole seconds of Unix time.
+/// Unix time in whole seconds.
 pub fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
 
-/// Writes a line, rate-limited for each place that uses it.
+/// Writes a log line, rate-limited for each call site.
 #[macro_export]
 macro_rules! log {
     ($($part:tt)*) => {{
@@ -64,7 +65,7 @@
     }};
 }
 
-/// Takes lines from now on; once in a process.
+/// Installs the subscriber; once in a process.
 pub fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
@@ -72,11 +73,11 @@
         .fmt_fields(JsonFields::new())
         .event_format(LineFormat { json: Format::default().json() })
         .with_filter(LevelFilter);
-    // A second start, as in a test, changes nothing.
+    // A second call, as in a test, has no effect.
     let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(lines));
 }
 
-/// Another level and form count from now on.
+/// Sets the level and the form.
 pub fn configure((level, form): (Level, Form)) {
     let level = match level {
         Level::Error => 1,
@@ -102,7 +103,7 @@
     }
 
     fn callsite_enabled(&self, _: &'static Metadata<'static>) -> tracing::subscriber::Interest {
-        // The level changes while the process runs: no answer is for good.
+        // The level can change while the process runs, so the result must not be cached.
         tracing::subscriber::Interest::sometimes()
     }
 }
@@ -124,7 +125,7 @@
         if JSON.load(Relaxed) {
             return self.json.format_event(context, writer, event);
         }
-        // For people, fields follow the message as text.
+        // In text form, the fields follow the message.
         let mut writer = writer;
         let mut line = MessageText(String::new());
         event.record(&mut line);
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_place_writes_ten_lines_a_second_and_counts_the_rest() {
+fn limiter_admits_ten_lines_per_second_and_counts_the_dropped_ones() {
     let limiter = LineLimiter::new();
     let admitted = (0..25).filter(|_| limiter.admit(7).is_some()).count();
     assert_eq!(admitted, 10);
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -1,4 +1,4 @@
-//! epoll, and the clock.
+//! The epoll instance and the clock.
 
 use crate::Micros;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -8,23 +8,23 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Whose socket it is: the upper byte of its token.
+/// What a socket belongs to; the upper byte of its token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Peer {
-    /// SIGTERM.
+    /// The pipe of SIGTERM.
     Stop,
-    /// SIGHUP.
+    /// The pipe of SIGHUP.
     Reload,
     /// The listener for clients.
     ClientListener,
-    /// An edge connection.
+    /// A client connection.
     Client,
-    /// A connection to a real server.
+    /// A connection to an endpoint.
     Endpoint,
-    /// The discovery watch.
+    /// The connection of the discovery watch.
     Discovery,
-    /// The notices.
+    /// The connection for delivery reports.
     Reports,
     /// The listener for publishers.
     AmqpListener,
@@ -38,15 +38,15 @@
     Admin,
     /// The resolver that DNS-SD asks.
     Resolver,
-    /// The listener for operators' staff.
+    /// The listener for operators' calls.
     OpsListener,
-    /// A connection of theirs.
+    /// A connection of an operator.
     Ops,
-    /// Where a process that is to follow this one asks.
+    /// The socket on which a successor process asks for the handover.
     UpgradeListener,
-    /// One that has asked.
+    /// A connection of a successor process that has asked.
     Successor,
-    /// The other forwarders of the fleet.
+    /// The socket to the other forwarders of the fleet.
     Members,
 }
 
@@ -71,20 +71,20 @@
     Peer::Members,
 ];
 const PEER_SHIFT: u32 = 56;
-/// Sockets that one look tells of. No more than a process may hold as a rule: one that was left out would be late by a turn, and
-/// what had come on it would be told to be missing.
+/// Largest number of sockets that one wait returns. A process may normally open fewer. A socket that is left
+/// out would be handled one loop iteration late, and its data would be treated as missing until then.
 const MAX_READY_EVENTS: usize = 4096;
 
-/// One ready socket.
+/// A socket that is ready.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Whose.
+    /// What the socket belongs to.
     pub peer: Peer,
-    /// Which.
+    /// The socket's token.
     pub token: u64,
 }
 
-/// The one epoll instance.
+/// The process's epoll instance.
 pub struct Poll {
     epoll: OwnedFd,
     next: u64,
@@ -92,48 +92,50 @@
 }
 
 impl Poll {
-    /// Makes it.
+    /// Creates an instance that watches no socket.
     pub fn new() -> io::Result<Poll> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
         Ok(Poll { epoll, next: 0, events: Vec::with_capacity(MAX_READY_EVENTS) })
     }
 
-    /// Another one, that waits for nothing yet. Tokens go on: none of the old ones is given again.
+    /// Creates a replacement that watches no socket yet. Tokens continue: no token of the old instance is
+    /// reused.
     pub fn replacement(&self) -> io::Result<Poll> {
         Ok(Poll { next: self.next, ..Poll::new()? })
     }
 
-    /// A new token for a peer; none is used twice, so a late event meets nobody.
+    /// A new token for a peer. Tokens are never reused, so a late event cannot be attributed to another
+    /// socket.
     pub fn token(&mut self, peer: Peer) -> u64 {
         self.next += 1;
         (peer as u64) << PEER_SHIFT | self.next
     }
 
-    /// Watches a socket for input and, if so wished, for room to write.
+    /// Watches a socket for input and, with `write`, for space to write.
     pub fn add(&self, socket: impl AsFd, token: u64, write: bool) -> io::Result<()> {
         Ok(epoll::add(&self.epoll, socket, EventData::new_u64(token), flags(write))?)
     }
 
-    /// Watches a listener for connections.
+    /// Watches a listener for new connections.
     pub fn listen(&mut self, listener: &TcpListener, peer: Peer) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         let token = self.token(peer);
         self.add(listener, token, false)
     }
 
-    /// Changes what a socket is watched for.
+    /// Changes whether a socket is also watched for space to write.
     pub fn change(&self, socket: impl AsFd, token: u64, write: bool) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, socket, EventData::new_u64(token), flags(write))?)
     }
 
-    /// Waits until something is ready or the time is over, and tells all that is ready.
+    /// Waits until a socket is ready or the time-out is over; returns all sockets that are ready.
     pub fn wait(&mut self, timeout: Duration) -> Vec<Ready> {
         self.events.clear();
         let timeout =
             Timespec { tv_sec: timeout.as_secs().min(3600) as i64, tv_nsec: timeout.subsec_nanos().into() };
         let mut timeout = Some(timeout);
-        // Interrupted by a signal, it looks again, without waiting: who was held still would else take all that came meanwhile
-        // for silence, and tell time-outs over it.
+        // After an interrupting signal, poll again without waiting. A process that was stopped (SIGSTOP)
+        // would otherwise treat the input that arrived meanwhile as silence and report time-outs.
         while let Err(rustix::io::Errno::INTR) =
             epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), timeout.as_ref())
         {
@@ -156,37 +158,38 @@
     }
 }
 
-/// The old process stands still for less than that, and what it wrote is read by then.
+/// Upper bound of a handover: the predecessor is paused for less, and its state has been read by then.
 const MAX_HANDOVER_TIME: Micros = Micros(2_000_000);
 
-/// The system's clock, as Unix time.
+/// The system's clock as Unix time.
 pub fn wall_clock() -> Micros {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Micros(since.as_micros() as u64)
 }
 
-/// Unix time that never goes back while the process runs.
+/// Unix time that never goes backwards while the process runs.
 pub struct Clock {
     base: Micros,
     started: Instant,
 }
 
 impl Clock {
-    /// Reads the wall clock once.
+    /// Reads the system's clock once; later readings add the elapsed monotonic time.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Clock {
         Clock { base: wall_clock(), started: Instant::now() }
     }
 
-    /// Goes on from another process's clock, as it stood when the system's stood so: what was noted by that one keeps its
-    /// meaning, and what went by since then counts. Behind by that, each process that follows would let windows and
-    /// deadlines end later. The system's clock may have been set meanwhile: no more is believed than a hand-over takes.
+    /// Continues the predecessor's clock, which read `now` when the system's clock read `then`: recorded
+    /// times keep their meaning, and the time since then counts. Otherwise each handover would let windows
+    /// and deadlines end later. The system's clock may have been set meanwhile, so at most the time of a
+    /// handover is added.
     pub fn continue_from(now: Micros, then: Option<Micros>) -> Clock {
         let passed = then.map_or(Micros(0), |then| wall_clock().minus(then)).min(MAX_HANDOVER_TIME);
         Clock { base: now.plus(passed), started: Instant::now() }
     }
 
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.base.plus(Micros(self.started.elapsed().as_micros() as u64))
     }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,10 +1,10 @@
-//! Signals, as bytes on sockets of their own that the loop waits for.
+//! Signals as bytes on sockets that the event loop waits for.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// The signals that are handled, from the moment that this is made.
+/// The handled signals.
 pub struct Signals {
     /// Readable after SIGTERM.
     pub stop: UnixStream,
@@ -13,7 +13,7 @@
 }
 
 impl Signals {
-    /// Takes the signals over. Made before anything else: what is not handled yet would end the process.
+    /// Installs the handlers. Must run before anything else: until then, a signal would end the process.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals { stop: pipe(SIGTERM)?, reload: pipe(SIGHUP)? })
     }
@@ -26,7 +26,7 @@
     Ok(read)
 }
 
-/// Empties one of them: several signals that came together count as one.
+/// Reads all pending bytes of one signal: several deliveries count as one.
 pub fn drain(mut signal: &UnixStream) {
     while matches!(signal.read(&mut [0; 64]), Ok(1..)) {}
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! A socket with what was read from it and what is still to be written.
+//! A non-blocking socket with its input and output buffers.
 
 use super::poll::Poll;
 use rustix::net::{connect, socket_with, AddressFamily, SocketFlags, SocketType};
@@ -7,25 +7,25 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// Read at once at most; a peer that sends more is read again in the next turn.
+/// Bytes read at once; the rest is read in the next loop iteration.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// A peer that does not read what it is sent is cut off beyond this.
+/// Limit of the output buffer: a peer that does not read what it is sent is disconnected above it.
 const MAX_UNSENT_BYTES: usize = 1 << 20;
 
-/// See the module's text.
+/// A non-blocking TCP connection with its buffers.
 pub struct Stream {
     socket: TcpStream,
     token: u64,
-    /// Read and not yet used.
+    /// Bytes that have been read but not used yet.
     pub input: Vec<u8>,
     output: Vec<u8>,
     connecting: bool,
     watching_write: bool,
-    /// The peer has ended its sending.
+    /// The peer has closed its sending side.
     pub ended: bool,
 }
 
-/// What is known of a stream beside its socket, for the process that follows.
+/// A stream's state without its socket, as handed over to the successor process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandedStream {
@@ -37,7 +37,7 @@
     ended: bool,
 }
 
-/// The next connection that waits at a listener. One that the system refuses is told and counted.
+/// Accepts the next waiting connection. An accept that fails is logged and counted.
 pub fn accept_next(listener: &TcpListener, who: &str, failures: &mut u64) -> Option<TcpStream> {
     loop {
         match listener.accept() {
@@ -46,7 +46,7 @@
             Err(problem) if problem.kind() == ErrorKind::ConnectionAborted => {}
             Err(problem) => {
                 *failures += 1;
-                log!("{who}: no connection can be taken: {problem}");
+                log!("{who}: cannot accept a connection: {problem}");
                 return None;
             }
         }
@@ -54,7 +54,7 @@
 }
 
 impl Stream {
-    /// Begins to connect.
+    /// Starts to connect.
     pub fn connect(poll: &Poll, token: u64, address: SocketAddr) -> io::Result<Stream> {
         let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
@@ -66,7 +66,7 @@
         Stream::new(poll, token, TcpStream::from(socket), true)
     }
 
-    /// Takes over an accepted socket.
+    /// Takes ownership of an accepted socket.
     pub fn accepted(poll: &Poll, token: u64, socket: TcpStream) -> io::Result<Stream> {
         socket.set_nonblocking(true)?;
         Stream::new(poll, token, socket, false)
@@ -86,14 +86,14 @@
         })
     }
 
-    /// For the process that follows.
+    /// The state and the socket, to hand over to the successor process.
     pub fn hand_over(&self) -> (HandedStream, BorrowedFd<'_>) {
         let (input, output) = (self.input.clone(), self.output.clone());
         let handed = HandedStream { input, output, connecting: self.connecting, ended: self.ended };
         (handed, self.socket.as_fd())
     }
 
-    /// Goes on with what another process handed over.
+    /// Takes over a stream of the predecessor process.
     pub fn take_over(poll: &Poll, token: u64, handed: HandedStream, socket: OwnedFd) -> io::Result<Stream> {
         let HandedStream { input, output, connecting, ended } = handed;
         let socket = TcpStream::from(socket);
@@ -102,38 +102,40 @@
         Ok(Stream { socket, token, input, output, connecting, watching_write, ended })
     }
 
-    /// Another poll waits for it from now on.
+    /// Registers the socket with another epoll instance.
     pub fn register(&self, poll: &Poll, token: u64) -> io::Result<()> {
         poll.add(&self.socket, token, self.watching_write)
     }
 
-    /// The connection is up.
+    /// Whether the connection is established.
     pub fn connected(&self) -> bool {
         !self.connecting
     }
 
-    /// Bytes have come that are still with the system.
+    /// Whether received bytes wait in the system's buffer.
     pub fn has_unread(&self) -> bool {
         self.socket.peek(&mut [0]).is_ok_and(|count| count > 0)
     }
 
-    /// All that was to be sent has been written.
+    /// Whether everything queued has been written.
     pub fn flushed(&self) -> bool {
         self.output.is_empty()
     }
 
-    /// Nothing has come that was not read yet, and the peer has not ended: fit to be used again, or let go.
+    /// Whether no unread bytes wait and the peer has not closed: the connection can be reused or closed
+    /// safely.
     pub fn is_reusable(&self) -> bool {
         let peeked = self.socket.peek(&mut [0]);
         self.input.is_empty() && !self.ended && peeked.is_err_and(|problem| is_transient(&problem))
     }
 
-    /// Ends the sending: the peer reads all that was written, and then the end.
+    /// Closes the sending side: the peer reads everything that was written, then the end.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.socket.shutdown(Shutdown::Write)
     }
 
-    /// Called when the socket is ready: reads what is there and writes what waits. An error means it broke.
+    /// Handles a ready socket: reads available bytes and writes queued ones. An error means that the
+    /// connection broke.
     pub fn ready(&mut self, poll: &Poll) -> io::Result<()> {
         if self.connecting {
             if let Some(problem) = self.socket.take_error()? {
@@ -156,7 +158,7 @@
         written
     }
 
-    /// Queues bytes and writes what can be written now.
+    /// Queues bytes and writes as many as possible now.
     pub fn send(&mut self, poll: &Poll, bytes: &[u8]) -> io::Result<()> {
         if self.output.len() + bytes.len() > MAX_UNSENT_BYTES {
             return Err(ErrorKind::OutOfMemory.into());
