--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery that falls silent, and discovery that is away while idle clients hold all places: what the process asks next, and
-//! when it knows. The times themselves are bounded without I/O in `src/net/list/round/tests.rs`.
+//! Discovery that falls silent, and discovery that is down while idle clients hold all file descriptors: what
+//! the process asks next, and when it has the list. `src/net/list/round/tests.rs` checks the bounds of the
+//! delays without I/O.
 
 mod support;
 
@@ -10,8 +11,8 @@
 use support::Stage;
 
 const PATIENCE: Duration = Duration::from_secs(20);
-/// A change counts as told so long after a watch fell silent.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change must be known this long after a watch fell silent.
+const CHANGE_KNOWN_WITHIN: Duration = Duration::from_secs(6);
 
 /// The next call of the watch, on a new connection.
 fn call(listener: &TcpListener) -> (TcpStream, String) {
@@ -22,12 +23,12 @@
         if request.starts_with("GET /v1/endpoints") {
             return (stream, request);
         }
-        // Notices are none of this test's.
+        // Delivery reports are not part of this test.
         stream.write_all(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n").unwrap();
     }
 }
 
-/// The next connection, within the test's patience.
+/// The next connection; panics if none arrives within `PATIENCE`.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let begun = Instant::now();
@@ -36,7 +37,7 @@
             stream.set_nonblocking(false).unwrap();
             return stream;
         }
-        assert!(begun.elapsed() < PATIENCE, "nobody connects");
+        assert!(begun.elapsed() < PATIENCE, "no connection arrives");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -49,13 +50,13 @@
     String::from_utf8(text).unwrap()
 }
 
-fn tell(stream: &mut TcpStream, list: &str) {
+fn send_list(stream: &mut TcpStream, list: &str) {
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
     stream.write_all(answer.as_bytes()).unwrap();
 }
 
-/// s2 drains, in a list of many lines.
-fn drain(stage: &Stage, generation: u64) -> String {
+/// A list in which s2 is draining, formatted over many lines.
+fn draining_list(stage: &Stage, generation: u64) -> String {
     format!(
         "{{\n  \"generation\": {generation},\n  \"reset\": false,\n  \"instances\": [\n    {{\n      \"instanceId\": \"s2\",\n      \
         \"hostPort\": \"{}\",\n      \"zone\": \"z\", \"machineType\": \"plain\", \"cell\": 2,\n      \
@@ -64,14 +65,14 @@
     )
 }
 
-/// Whether s2 is listed as draining, as staff see it.
-fn knows_the_drain(stage: &Stage) -> bool {
+/// Whether the administration API lists s2 as draining.
+fn lists_draining(stage: &Stage) -> bool {
     let asked = support::load::ask(stage.admin, "GET", "/v1/entries", "all", "");
     asked.is_ok_and(|(_, text)| text.contains("draining"))
 }
 
-/// Whatever discovery does, messages are taken on and tried: none waits for 4 s without an attempt.
-fn serves(stage: &Stage) {
+/// Checks that messages are accepted and attempted within 4 s whatever discovery does.
+fn assert_serving(stage: &Stage) {
     let begun = Instant::now();
     assert_eq!(byhand::hand_in(stage, &byhand::request("on", "note", 3, 30.0, "on")), 202);
     let (_server, tried) = byhand::called(&stage.listener("s3"));
@@ -80,78 +81,79 @@
 }
 
 #[test]
-fn a_watch_silent_from_its_first_moment_is_opened_anew_on_another_connection_and_answered_at_once() {
+fn watch_silent_from_its_start_is_retried_without_a_hold_on_another_connection() {
     let mut stage = Stage::new("silent-start");
     let listener = stage.listener("platform");
     stage.start();
     let (silent, first) = call(&listener);
     let since = Instant::now();
     assert!(first.contains("from=7&hold_ms="), "{first}");
-    serves(&stage);
+    assert_serving(&stage);
     let (mut second, again) = call(&listener);
     let took = since.elapsed();
-    assert!(again.contains("from=7&hold_ms=0 "), "one that is answered at once: {again}");
-    assert!(took < TOLD, "{took:?} after it fell silent");
-    tell(&mut second, &drain(&stage, 8));
-    until("the drain is not known", || knows_the_drain(&stage));
+    assert!(again.contains("from=7&hold_ms=0 "), "the retry asks for an immediate answer: {again}");
+    assert!(took < CHANGE_KNOWN_WITHIN, "{took:?} after it fell silent");
+    send_list(&mut second, &draining_list(&stage, 8));
+    until("the drain is not known", || lists_draining(&stage));
     let rest = read(&mut second);
-    assert!(rest.contains("from=8&hold_ms=4000"), "the watch goes on where it is answered: {rest}");
+    assert!(rest.contains("from=8&hold_ms=4000"), "the watch continues on the answered connection: {rest}");
     drop(silent);
 }
 
 #[test]
-fn a_list_that_breaks_off_and_one_in_pieces_are_told_apart() {
+fn list_cut_off_is_ignored_and_list_received_in_pieces_is_applied() {
     let mut stage = Stage::new("in-pieces");
     let listener = stage.listener("platform");
     stage.start();
     let (mut first, _) = call(&listener);
-    let list = drain(&stage, 8);
+    let list = draining_list(&stage, 8);
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-    // In the middle of an entry: nothing of it counts.
+    // Cut in the middle of an entry: no part of the list may be applied.
     first.write_all(&answer.as_bytes()[..answer.len() - 90]).unwrap();
     drop(first);
-    serves(&stage);
+    assert_serving(&stage);
     let (mut second, again) = call(&listener);
     assert!(again.contains("from=7&hold_ms=0 "), "{again}");
-    assert!(!knows_the_drain(&stage), "half a list is none");
-    // Byte by byte, each in a turn of its own.
+    assert!(!lists_draining(&stage), "an incomplete list was applied");
+    // Byte by byte, each read in its own loop iteration.
     for byte in answer.bytes() {
         second.write_all(&[byte]).unwrap();
         std::thread::yield_now();
     }
-    until("the list in pieces is not known", || knows_the_drain(&stage));
+    until("the list in pieces is not known", || lists_draining(&stage));
 }
 
 #[test]
-fn a_discovery_that_returns_is_heard_though_idle_clients_hold_every_place() {
+fn discovery_that_returns_is_read_although_idle_clients_hold_all_descriptors() {
     let mut stage = Stage::new("every-place");
     let listener = stage.listener("platform");
     stage.start();
-    // While discovery is down its agent is silent.
+    // While discovery is down, its agent sends nothing.
     let (_silent, _) = call(&listener);
-    // 256 descriptors; more idle clients than that, and each place that is given up is taken at once.
-    let mut crowd: Vec<TcpStream> = Vec::new();
-    let crowds = |crowd: &mut Vec<TcpStream>| {
+    // The process may open 256 descriptors. More idle clients than that connect, and every descriptor that is
+    // freed is taken by another client at once.
+    let mut idle_clients: Vec<TcpStream> = Vec::new();
+    let connect_clients = |idle_clients: &mut Vec<TcpStream>| {
         for _ in 0..300 {
-            crowd.extend(TcpStream::connect(stage.listen));
+            idle_clients.extend(TcpStream::connect(stage.listen));
         }
     };
-    crowds(&mut crowd);
+    connect_clients(&mut idle_clients);
     let (mut watch, _) = call(&listener);
-    crowds(&mut crowd);
-    let list = drain(&stage, 8).replace("\"s2\"", "\"s3\"").replace("\"cell\": 2", "\"cell\": 3");
-    tell(&mut watch, &list);
-    // On a busy machine that call was given up meanwhile: then the next one is answered.
+    connect_clients(&mut idle_clients);
+    let list = draining_list(&stage, 8).replace("\"s2\"", "\"s3\"").replace("\"cell\": 2", "\"cell\": 3");
+    send_list(&mut watch, &list);
+    // On a busy machine that call may have timed out meanwhile; then the next one is answered.
     let mut watches = vec![watch];
     until("the list is not known", || {
         if let Some(mut next) = byhand::waiting(&listener) {
             read(&mut next);
-            tell(&mut next, &list);
+            send_list(&mut next, &list);
             watches.push(next);
         }
-        knows_the_drain(&stage)
+        lists_draining(&stage)
     });
-    // A connection to a real server and the journal have their descriptors, too.
+    // A connection to an endpoint and the journal get descriptors too.
     let server = stage.listener("s2");
     let mut client = TcpStream::connect(stage.listen).unwrap();
     client.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -164,26 +166,27 @@
     assert!(read(&mut called).contains("Request-Id: e1"));
 }
 
-/// Its system takes no connection for a while: each call's time covers the connection, and the next one that comes up is answered.
+/// Discovery's system accepts no connection for a while. Each call's time-out includes connecting, and the
+/// first call on a connection that is established is answered.
 #[test]
-fn a_discovery_whose_connections_do_not_come_up_is_heard_soon_once_they_do() {
+fn discovery_that_accepts_connections_again_is_read_within_the_limit() {
     let mut stage = Stage::new("never-up");
     let late = byhand::Late::new(stage.listener("platform"));
     stage.start();
-    until("a call was given up", || stage.lines().contains("discovery: no answer"));
-    serves(&stage);
+    until("no call has timed out", || stage.lines().contains("discovery: no answer"));
+    assert_serving(&stage);
     let listener = late.open();
     let since = Instant::now();
     let (mut watch, again) = call(&listener);
     assert!(again.contains("from=7&hold_ms=0 "), "{again}");
-    tell(&mut watch, &drain(&stage, 8));
-    until("the drain is not known", || knows_the_drain(&stage));
-    assert!(since.elapsed() < TOLD, "{:?} after it could be reached", since.elapsed());
+    send_list(&mut watch, &draining_list(&stage, 8));
+    until("the drain is not known", || lists_draining(&stage));
+    assert!(since.elapsed() < CHANGE_KNOWN_WITHIN, "{:?} after it became reachable", since.elapsed());
 }
 
-/// A list that never ends is given up, and the last good one stays; the next call is answered.
+/// A list that never ends is abandoned and the last complete list stays; the next call is answered.
 #[test]
-fn a_list_without_an_end_is_given_up_and_asked_for_again() {
+fn endless_list_is_abandoned_and_requested_again() {
     let mut stage = Stage::new("endless");
     let listener = stage.listener("platform");
     stage.start();
@@ -192,18 +195,18 @@
     let dripping = std::thread::spawn(move || {
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let mut bytes = head.as_bytes().to_vec();
-        // Until the process ends the connection.
+        // Until the process closes the connection.
         while endless.write_all(&bytes).is_ok() {
             bytes = b"8\r\n        \r\n".to_vec();
             std::thread::sleep(Duration::from_millis(20));
         }
     });
-    serves(&stage);
+    assert_serving(&stage);
     let (mut watch, again) = call(&listener);
-    assert!(since.elapsed() < TOLD, "{:?} after it began", since.elapsed());
+    assert!(since.elapsed() < CHANGE_KNOWN_WITHIN, "{:?} after it began", since.elapsed());
     assert!(again.contains("from=7&hold_ms=0 "), "{again}");
-    assert!(!knows_the_drain(&stage));
-    tell(&mut watch, &drain(&stage, 8));
-    until("the drain is not known", || knows_the_drain(&stage));
+    assert!(!lists_draining(&stage));
+    send_list(&mut watch, &draining_list(&stage, 8));
+    until("the drain is not known", || lists_draining(&stage));
     dripping.join().unwrap();
 }
