--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -68,7 +68,7 @@
     },
     /// A complete message, and the number of bytes it used.
     Complete(T, usize),
-    /// The message is malformed or too large; carries the status to respond with.
+    /// The message is malformed or too large; body_expected the status to respond with.
     Invalid(u16),
 }
 
@@ -127,12 +127,12 @@
     else {
         return Parsed::Invalid(400);
     };
-    let old = version == "HTTP/1.0";
+    let http_1_0 = version == "HTTP/1.0";
     let method_ok = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
-    if !method_ok || !(old || version == "HTTP/1.1") || !target.starts_with('/') {
+    if !method_ok || !(http_1_0 || version == "HTTP/1.1") || !target.starts_with('/') {
         return Parsed::Invalid(400);
     }
-    let carries = length_required && matches!(method, "POST" | "PUT" | "PATCH");
+    let body_expected = length_required && matches!(method, "POST" | "PUT" | "PATCH");
     let length = match headers.length() {
         Ok(length) => length,
         Err(()) => return Parsed::Invalid(400),
@@ -142,7 +142,7 @@
     if headers.get("transfer-encoding").is_some() && length.is_some() {
         return Parsed::Invalid(400);
     }
-    if headers.get("transfer-encoding").is_some() || carries && length.is_none() {
+    if headers.get("transfer-encoding").is_some() || body_expected && length.is_none() {
         return Parsed::Invalid(411);
     }
     let length = length.unwrap_or(0);
@@ -152,7 +152,7 @@
     let Some(body) = input.get(at..at + length) else {
         return Parsed::Partial { expects_continue: headers.has("expect", "100-continue") };
     };
-    let close = headers.has("connection", "close") || old && !headers.has("connection", "keep-alive");
+    let close = headers.has("connection", "close") || http_1_0 && !headers.has("connection", "keep-alive");
     let (method, target, body) = (method.to_owned(), target.to_owned(), body.to_vec());
     Parsed::Complete(Request { method, target, headers, body, close }, skipped + at + length)
 }
--- a/src/net/list/dns_sd.rs
+++ b/src/net/list/dns_sd.rs
@@ -120,7 +120,7 @@
     /// Handles the resolver's connection when it is ready; returns the changes once a lookup is complete.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros) -> Option<ListUpdate> {
         let stream = self.stream.as_mut().filter(|_| token == self.token)?;
-        let over = stream.ready(poll).is_err() || stream.ended;
+        let ended = stream.ready(poll).is_err() || stream.ended;
         while let Some(message) = next_message(&mut stream.input) {
             let Some((id, records)) = read_message(&message) else {
                 self.fail(now, "the resolver returned an error or a malformed answer");
@@ -132,17 +132,17 @@
             }
         }
         if !self.pending.is_empty() {
-            if over {
+            if ended {
                 self.fail(now, "the resolver closed the connection");
             }
             return None;
         }
-        let more = self.open_questions();
-        if !more.is_empty() && !over {
-            self.send_questions(poll, &more, now);
+        let questions = self.open_questions();
+        if !questions.is_empty() && !ended {
+            self.send_questions(poll, &questions, now);
             return None;
         }
-        if !more.is_empty() {
+        if !questions.is_empty() {
             self.fail(now, "the resolver closed the connection");
             return None;
         }
@@ -178,20 +178,20 @@
     }
 
     fn instance_names(&self) -> Vec<String> {
-        let of = |record: &Record| match &record.data {
+        let instance_of = |record: &Record| match &record.data {
             // A record with a time to live of 0 is a goodbye.
             Data::Pointer(instance) if record.name == self.service && record.ttl > 0 => {
                 Some(instance.clone())
             }
             _ => None,
         };
-        let names: BTreeSet<String> = self.records.iter().filter_map(of).collect();
+        let names: BTreeSet<String> = self.records.iter().filter_map(instance_of).collect();
         names.into_iter().take(MAX_INSTANCES).collect()
     }
 
     fn find<'a, T>(&'a self, name: &str, pick: impl Fn(&'a Data) -> Option<T>) -> Option<T> {
-        let mut of = self.records.iter().filter(|record| record.name == name && record.ttl > 0);
-        of.find_map(|record| pick(&record.data))
+        let mut matching = self.records.iter().filter(|record| record.name == name && record.ttl > 0);
+        matching.find_map(|record| pick(&record.data))
     }
 
     fn service_of(&self, instance: &str) -> Option<(&str, u16)> {
--- a/src/net/list/round.rs
+++ b/src/net/list/round.rs
@@ -52,7 +52,7 @@
 pub struct WatchCall {
     /// How long discovery may hold it; 0 asks for an answer at once.
     pub hold: Micros,
-    /// When it counts as unanswered.
+    /// Time after which it counts as unanswered.
     pub timeout: Micros,
 }
 
--- a/src/net/list/round/tests.rs
+++ b/src/net/list/round/tests.rs
@@ -51,10 +51,10 @@
             schedule.answered();
             for failures in 0..20 {
                 // Worst case: discovery becomes reachable right after this call, which is lost.
-                let ask = schedule.next_call(true);
+                let call = schedule.next_call(true);
                 let failure = [WatchFailure::TimedOut, WatchFailure::Broken, WatchFailure::Rejected]
                     [random.usize(0..3)];
-                let lost = if failure == WatchFailure::TimedOut { ask.timeout.0 } else { 0 };
+                let lost = if failure == WatchFailure::TimedOut { call.timeout.0 } else { 0 };
                 let backoff = schedule.failed(failure).0;
                 assert!(
                     lost + backoff + IMMEDIATE_ANSWER <= CHANGE_KNOWN_WITHIN,
@@ -76,9 +76,9 @@
             // The watches began at different times.
             let mut at = if failure == WatchFailure::TimedOut { seed * MAX_HOLD.0 / 300 } else { 0 };
             loop {
-                let ask = schedule.next_call(true);
+                let call = schedule.next_call(true);
                 at += schedule.failed(failure).0
-                    + if failure == WatchFailure::TimedOut { ask.timeout.0 } else { 0 };
+                    + if failure == WatchFailure::TimedOut { call.timeout.0 } else { 0 };
                 let Some(calls) = calls.get_mut((at / 100_000) as usize) else { break };
                 *calls += 1;
             }
--- a/src/net/list/spread.rs
+++ b/src/net/list/spread.rs
@@ -22,8 +22,7 @@
 const FIRST_BACKOFF: u64 = 200_000;
 /// Upper bound of the backoff in a small fleet.
 const MAX_BACKOFF: u64 = 1_000_000;
-/// Upper bound in a large fleet: with the next call's answer, a change is still known within the required 6
-/// s.
+/// Upper bound in a large fleet: with the next call's answer, a change is still known within 6 s.
 const MAX_FLEET_BACKOFF: u64 = 2_500_000;
 /// Upper bound of the backoff after the first time-outs.
 const MAX_TIMEOUT_BACKOFF: u64 = 200_000;
--- a/src/net/list/watch.rs
+++ b/src/net/list/watch.rs
@@ -89,13 +89,13 @@
             return;
         }
         self.calls += 1;
-        let ask = self.schedule.next_call(self.generation.is_some());
+        let call = self.schedule.next_call(self.generation.is_some());
         let target = match self.generation {
-            Some(generation) => format!("/v1/endpoints?from={generation}&hold_ms={}", ask.hold.0 / 1000),
+            Some(generation) => format!("/v1/endpoints?from={generation}&hold_ms={}", call.hold.0 / 1000),
             None => "/v1/endpoints".to_owned(),
         };
         let request = write_request("GET", &target, &self.host, "", b"");
-        self.caller.send(poll, &request, now.plus(ask.timeout));
+        self.caller.send(poll, &request, now.plus(call.timeout));
     }
 
     /// When [`DiscoveryWatch::tick`] is due.
@@ -123,7 +123,7 @@
                     WatchFailure::Broken
                 });
                 log!("discovery: status {status} without a usable list, retrying in {} ms", delay.0 / 1000);
-                // A server that is too overloaded (5xx) still knows the version: the complete list would cost
+                // A discovery that is overloaded (5xx) still knows the version: the complete list would cost
                 // it more.
                 self.generation = self.generation.filter(|_| status >= 500);
                 delay
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -57,7 +57,7 @@
     waiting: Option<Vec<Item>>,
     written: bool,
     /// Messages without an outcome: delivery tag, index in the call, message id.
-    open: Vec<(u64, usize, std::rc::Rc<[u8]>)>,
+    unconfirmed: Vec<(u64, usize, std::rc::Rc<[u8]>)>,
 }
 
 /// Connections to brokers.
@@ -149,7 +149,8 @@
             open_channel(&mut out, number);
         }
         let channel = connection.channels.entry(number).or_default();
-        channel.call = Some(ActiveCall { call, waiting: Some(items), written: false, open: Vec::new() });
+        channel.call =
+            Some(ActiveCall { call, waiting: Some(items), written: false, unconfirmed: Vec::new() });
         if channel.open {
             publish(&mut out, number, channel, broker, &self.directory, connection.frame_max);
         }
@@ -164,9 +165,9 @@
     /// share the connection, so the bytes that are unsent when it breaks cannot be attributed to a call.
     fn note_written(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        for out in connection.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
-            if out.waiting.is_none() && !std::mem::replace(&mut out.written, true) {
-                inputs.push(Input::Written(out.call));
+        for active_call in connection.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
+            if active_call.waiting.is_none() && !std::mem::replace(&mut active_call.written, true) {
+                inputs.push(Input::Written(active_call.call));
             }
         }
     }
@@ -223,14 +224,15 @@
                 .channels
                 .into_values()
                 .filter_map(|channel| channel.call)
-                .map(|out| Input::Broken(out.call)),
+                .map(|active_call| Input::Broken(active_call.call)),
         );
     }
 
     /// Cancels a call: its channel is closed, and a late confirm is ignored.
     pub fn abort(&mut self, poll: &Poll, call: CallId) {
         for connection in self.connections.values_mut() {
-            let carries = |channel: &Channel| channel.call.as_ref().is_some_and(|out| out.call == call);
+            let carries =
+                |channel: &Channel| channel.call.as_ref().is_some_and(|active_call| active_call.call == call);
             let Some(number) =
                 connection.channels.iter().find(|(_, c)| carries(c)).map(|(&number, _)| number)
             else {
@@ -361,7 +363,7 @@
                 log!("broker {}: closed a channel: {code} {text}", broker.address);
                 amqp::write_method(out, number, method::CHANNEL_CLOSE_OK, &[]);
                 let call = self.channels.remove(&number).and_then(|channel| channel.call);
-                inputs.extend(call.map(|out| Input::Broken(out.call)));
+                inputs.extend(call.map(|active_call| Input::Broken(active_call.call)));
             }
             method::CHANNEL_CLOSE_OK => self.closing.retain(|&closing| closing != number),
             method::CHANNEL_FLOW => amqp::write_method(out, number, method::CHANNEL_FLOW_OK, &[1]),
@@ -386,15 +388,15 @@
 
 impl Channel {
     fn handle_confirm(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
-        let Some(out) = &mut self.call else { return };
+        let Some(active_call) = &mut self.call else { return };
         let confirms = |open: u64| open == tag || multiple && (open < tag || tag == 0);
-        let results: Vec<_> = out
-            .open
+        let results: Vec<_> = active_call
+            .unconfirmed
             .iter()
             .filter(|(open, ..)| confirms(*open))
             .map(|&(_, index, _)| (index, outcome, outcome == AttemptOutcome::Delivered))
             .collect();
-        out.open.retain(|(open, ..)| !confirms(*open));
+        active_call.unconfirmed.retain(|(open, ..)| !confirms(*open));
         self.report_results(results, inputs);
     }
 
@@ -404,18 +406,19 @@
         if !std::mem::take(&mut self.returning) {
             return;
         }
-        let Some(out) = &mut self.call else { return };
-        let returned = out.open.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
-        let Some((_, index, _)) = returned.map(|index| out.open.remove(index)) else { return };
+        let Some(active_call) = &mut self.call else { return };
+        let returned =
+            active_call.unconfirmed.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
+        let Some((_, index, _)) = returned.map(|index| active_call.unconfirmed.remove(index)) else { return };
         self.report_results(vec![(index, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
     }
 
     fn report_results(&mut self, results: Vec<(usize, AttemptOutcome, bool)>, inputs: &mut Vec<Input>) {
-        let Some(out) = &self.call else { return };
+        let Some(active_call) = &self.call else { return };
         if !results.is_empty() {
-            inputs.push(Input::Answered { call: out.call, results, wait: None });
+            inputs.push(Input::Answered { call: active_call.call, results, wait: None });
         }
-        if out.open.is_empty() {
+        if active_call.unconfirmed.is_empty() {
             self.call = None;
         }
     }
@@ -450,7 +453,7 @@
             ..Properties::default()
         };
         amqp::write_content(out, number, &properties, &item.body, frame_max);
-        call.open.push((channel.next_tag, index, item.id));
+        call.unconfirmed.push((channel.next_tag, index, item.id));
         channel.next_tag += 1;
     }
 }
--- a/src/net/servers/http.rs
+++ b/src/net/servers/http.rs
@@ -194,15 +194,15 @@
             load_reported: active_call.load_reported,
             answer_since: active_call.answer_since,
         };
-        let one = |connection: &Connection| HandedConnection {
+        let hand_over_connection = |connection: &Connection| HandedConnection {
             endpoint: connection.endpoint,
             stream: connection.stream.hand_over().0,
             active_call: connection.active_call.as_ref().map(active_call),
             answered: connection.answered,
             last_used: connection.last_used,
         };
-        let sockets = self.connections.values().map(|one| one.stream.hand_over().1);
-        (self.connections.values().map(one).collect(), sockets.collect())
+        let sockets = self.connections.values().map(|connection| connection.stream.hand_over().1);
+        (self.connections.values().map(hand_over_connection).collect(), sockets.collect())
     }
 
     /// Takes over a connection of the predecessor process; returns the call in progress on it.
@@ -442,7 +442,7 @@
                     self.remove(token);
                 }
             }
-            partial_or_bad => {
+            partial_or_invalid => {
                 if !input.is_empty() {
                     active_call.answer_since.get_or_insert(now);
                     active_call.report_limits(endpoint, &http::complete_headers(input), inputs);
@@ -457,7 +457,7 @@
                     let results = vec![(0, AttemptOutcome::Delivered, true)];
                     inputs.push(Input::Answered { call: active_call.call, results, wait: None });
                 }
-                match partial_or_bad {
+                match partial_or_invalid {
                     _ if broke => self.end_broken(token, inputs),
                     Parsed::Invalid(_) if ended => self.end_broken(token, inputs),
                     Parsed::Invalid(_) => self.end_malformed(token, inputs),
