--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -56,7 +56,7 @@
         self.learn(ListUpdate { generation: 0, whole: false, entries: news });
     }
 
-    /// ListUpdate of the list, from whichever source.
+    /// Applies an update of the endpoint list, from any source.
     pub(in crate::net) fn learn(&mut self, news: ListUpdate) {
         self.life.listed();
         self.platform.is_ready = self.life.takes_clients();
