--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -5,7 +5,7 @@
 pub mod changes;
 
 use super::http::{self, Parsed, Request};
-use super::list::Book;
+use super::list::EndpointList;
 use super::poll::{Peer, Poll};
 use super::reports::escape;
 use super::stream::{self, Stream};
@@ -38,7 +38,7 @@
     /// The core.
     pub engine: &'a Engine,
     /// The endpoint records.
-    pub book: &'a Book,
+    pub endpoint_list: &'a EndpointList,
     /// The configuration and its versions.
     pub change_service: &'a ChangeService,
     /// The current time.
@@ -160,7 +160,8 @@
     /// closed.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         while !self.retired {
-            let Some(socket) = stream::next(&self.listener, "administration", &mut self.listener_failures)
+            let Some(socket) =
+                stream::accept_next(&self.listener, "administration", &mut self.listener_failures)
             else {
                 break;
             };
@@ -205,7 +206,8 @@
     ) {
         let Some(one) = self.connections.get_mut(&token) else { return };
         one.used_at = context.now;
-        if one.stream.ready(poll).is_err() || one.stream.input.len() > MAX_BODY_BYTES + 2 * http::LONGEST_HEAD
+        if one.stream.ready(poll).is_err()
+            || one.stream.input.len() > MAX_BODY_BYTES + 2 * http::MAX_HEAD_BYTES
         {
             self.connections.remove(&token);
             return;
@@ -228,15 +230,15 @@
             if one.awaits_change || one.stream.input.is_empty() {
                 break;
             }
-            match http::request_within(&one.stream.input, MAX_BODY_BYTES) {
+            match http::parse_request_within(&one.stream.input, MAX_BODY_BYTES) {
                 Parsed::Partial { .. } => break,
-                Parsed::Bad(status) => {
+                Parsed::Invalid(status) => {
                     one.close = true;
                     one.stream.input.clear();
                     self.send(poll, token, Answer::empty(status));
                     return;
                 }
-                Parsed::Whole(request, used) => {
+                Parsed::Complete(request, used) => {
                     one.stream.input.drain(..used);
                     one.close |= request.close;
                     let bearer = request.headers.get("Authorization").and_then(|v| v.strip_prefix("Bearer "));
@@ -312,7 +314,7 @@
         if !tag.is_empty() {
             extra.push(("ETag", &tag));
         }
-        let bytes = http::write_answer(answer.status, &extra, answer.body.as_bytes(), one.close);
+        let bytes = http::write_response(answer.status, &extra, answer.body.as_bytes(), one.close);
         if one.stream.send(poll, &bytes).is_err() || one.close {
             self.connections.remove(&token);
         }
@@ -361,7 +363,7 @@
             }
             // The list belongs to no tenant.
             ("GET", ["v1", "entries"]) if scope.is_some() => Answer::empty(403),
-            ("GET", ["v1", "entries"]) => list(entries(context.book)),
+            ("GET", ["v1", "entries"]) => list(entries(context.endpoint_list)),
             (_, ["v1", "tenants" | "flows" | "counts" | "entries"])
             | (_, ["v1", "tenants", _])
             | (_, ["v1", "tenants", _, "pause" | "resume"]) => Answer::empty(405),
@@ -422,14 +424,14 @@
     }
 }
 
-fn entries(book: &Book) -> Vec<String> {
-    let line = book.0.values().map(|entry| {
-        let lifecycle = if entry.member.lifecycle == Lifecycle::Ready { "up" } else { "draining" };
+fn entries(endpoint_list: &EndpointList) -> Vec<String> {
+    let line = endpoint_list.0.values().map(|entry| {
+        let lifecycle = if entry.record.lifecycle == Lifecycle::Ready { "up" } else { "draining" };
         format!(
             "{{\"name\":\"{}\",\"address\":\"{}\",\"dest\":{},\"lifecycle\":\"{lifecycle}\"}}",
             escape(&entry.name),
             entry.address.map_or(String::new(), |address| address.to_string()),
-            entry.member.destination.0
+            entry.record.destination.0
         )
     });
     line.collect()
--- a/src/net/clients/amqp.rs
+++ b/src/net/clients/amqp.rs
@@ -38,7 +38,7 @@
 const MAX_QUEUES: usize = 256;
 /// Time after which a connection that is not open yet, or is closing, is dropped.
 const HANDSHAKE_TIMEOUT: Micros = Micros(3_000_000);
-const MAX_BODY_BYTES: u64 = crate::net::http::LONGEST_BODY as u64;
+const MAX_BODY_BYTES: u64 = crate::net::http::MAX_BODY_BYTES as u64;
 
 /// An answer that waits for an acknowledgement.
 #[derive(Clone, Debug)]
@@ -189,13 +189,16 @@
     /// Accepts the pending connections of the listener.
     pub fn accept(&mut self, poll: &mut Poll, now: Micros) {
         loop {
-            let Some(socket) = stream::next(&self.listener, "amqp", &mut self.listener_failures) else {
+            let Some(socket) = stream::accept_next(&self.listener, "amqp", &mut self.listener_failures)
+            else {
                 break;
             };
             if self.publishers.len() >= MAX_CONNECTIONS {
                 // A connection that is silent before it is open makes room for the new one.
-                let silent =
-                    self.publishers.iter().filter(|(_, one)| one.stage != Stage::Ready && one.stream.quiet());
+                let silent = self
+                    .publishers
+                    .iter()
+                    .filter(|(_, one)| one.stage != Stage::Ready && one.stream.is_reusable());
                 let oldest = silent.min_by_key(|(_, one)| one.started_at).map(|(&token, _)| token);
                 oldest.map(|token| self.publishers.remove(&token));
             }
--- a/src/net/clients/platform.rs
+++ b/src/net/clients/platform.rs
@@ -27,7 +27,7 @@
 /// Longest message id or idempotency key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 /// Input that may be buffered behind a request that the core is processing: one more request.
-const MAX_BUFFERED_INPUT: usize = http::LONGEST_HEAD + http::LONGEST_BODY;
+const MAX_BUFFERED_INPUT: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 
 struct ClientConnection {
     stream: Stream,
@@ -192,8 +192,8 @@
 
     /// Takes over a connection from the predecessor process.
     pub fn adopt(&mut self, poll: &mut Poll, handed: HandedClientConnection, socket: OwnedFd) {
-        let token = poll.token(Peer::Edge);
-        let Ok(stream) = Stream::follow(poll, token, handed.stream, socket) else { return };
+        let token = poll.token(Peer::Client);
+        let Ok(stream) = Stream::take_over(poll, token, handed.stream, socket) else { return };
         let HandedClientConnection { life, leaving, continued, used_at, .. } = handed;
         let state = life.unwrap_or(ConnectionState::Idle { since: used_at });
         let connection =
@@ -229,12 +229,12 @@
         while let Some(socket) = self
             .listener
             .as_ref()
-            .and_then(|listener| stream::next(listener, "clients", &mut self.listener_failures))
+            .and_then(|listener| stream::accept_next(listener, "clients", &mut self.listener_failures))
         {
             if self.connections.len() >= self.max_connections {
                 self.evict_one();
             }
-            let token = poll.token(Peer::Edge);
+            let token = poll.token(Peer::Client);
             let Ok(stream) = Stream::accepted(poll, token, socket) else { continue };
             let state = ConnectionState::open(now);
             let mut connection = ClientConnection {
@@ -247,7 +247,7 @@
             };
             if self.connections.len() >= self.max_connections {
                 // The client can read this rejection; the socket is closed after it.
-                let answer = http::write_answer(503, &[("Retry-After", "0.5")], b"", true);
+                let answer = http::write_response(503, &[("Retry-After", "0.5")], b"", true);
                 let _ = connection.stream.send(poll, &answer);
                 log!("clients: {} connections, rejecting one more", self.connections.len());
                 continue;
@@ -303,8 +303,8 @@
             && connection.stream.flushed()
             && !connection.stream.input.is_empty()
         {
-            match http::request(&connection.stream.input) {
-                Parsed::Whole(request, used) => {
+            match http::parse_request(&connection.stream.input) {
+                Parsed::Complete(request, used) => {
                     connection.stream.input.drain(..used);
                     connection.continued = false;
                     connection
@@ -318,14 +318,14 @@
                         }
                     }
                 }
-                Parsed::Partial { expects } => {
+                Parsed::Partial { expects_continue } => {
                     connection.state.request_started(now);
-                    if expects && !std::mem::replace(&mut connection.continued, true) {
+                    if expects_continue && !std::mem::replace(&mut connection.continued, true) {
                         let _ = connection.stream.send(poll, b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     break;
                 }
-                Parsed::Bad(status) => {
+                Parsed::Invalid(status) => {
                     connection.state.close(now);
                     send(poll, connection, status, &[], b"");
                 }
@@ -346,7 +346,7 @@
         if connection.stream.ended {
             connection.state.client_closed(now, flushed);
         }
-        if flushed && connection.state.output_flushed(now) && connection.stream.end_sending().is_err() {
+        if flushed && connection.state.output_flushed(now) && connection.stream.shutdown_write().is_err() {
             connection.state = ConnectionState::Gone;
         }
         if connection.state == ConnectionState::Gone {
@@ -476,13 +476,13 @@
 impl ClientConnection {
     /// Whether the socket holds unread input that would be read as a request now.
     fn has_unread_input(&self) -> bool {
-        self.state.accepts_requests() && self.stream.flushed() && self.stream.unread()
+        self.state.accepts_requests() && self.stream.flushed() && self.stream.has_unread()
     }
 
     /// Whether no request is in progress, no input is unread and all output is written.
     fn is_quiescent(&self) -> bool {
         matches!(self.state, ConnectionState::Open { .. } | ConnectionState::Idle { .. })
-            && self.stream.quiet()
+            && self.stream.is_reusable()
             && self.stream.flushed()
     }
 }
@@ -497,7 +497,7 @@
     let headers = if status == 405 { &allow[..] } else { headers };
     if connection
         .stream
-        .send(poll, &http::write_answer(status, headers, body, connection.state.is_closing()))
+        .send(poll, &http::write_response(status, headers, body, connection.state.is_closing()))
         .is_err()
     {
         connection.state = ConnectionState::Gone;
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,24 +1,24 @@
-//! HTTP/1.1: requests and answers, read from and written to byte buffers.
+//! HTTP/1.1: parses requests and responses from byte buffers and writes them.
 
-/// Longest head of a request or an answer.
-pub const LONGEST_HEAD: usize = 16 * 1024;
-/// Longest body of a request.
-pub const LONGEST_BODY: usize = 64 * 1024;
-/// Longest body of an answer to a call.
-pub const LONGEST_ANSWER: usize = 64 * 1024;
-/// The same where a whole list of service entries may come.
-pub const LONGEST_LIST: usize = 8 * 1024 * 1024;
-/// Bytes of empty lines before a request at most.
-const MOST_SKIPPED: usize = 64;
-/// Interim answers before the real one at most.
-const MOST_INTERIM: usize = 16;
+/// Largest head (start line and headers) of a request or a response.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Largest body of a request.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Largest body of a response to a call.
+pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// Largest body of a response that may carry a complete endpoint list.
+pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
+/// Largest number of bytes in empty lines before a request.
+const MAX_EMPTY_LINE_BYTES: usize = 64;
+/// Largest number of interim (1xx) responses before the final one.
+const MAX_INTERIM_RESPONSES: usize = 16;
 
-/// Headers in order, names as sent.
+/// Headers in order, with the names as sent.
 #[derive(Debug, Default, PartialEq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The first header of a name, whatever its case.
+    /// The value of the first header with this name, ignoring case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
@@ -28,7 +28,8 @@
         self.0.iter().any(|(known, value)| known.eq_ignore_ascii_case(name) && listed(value))
     }
 
-    /// The body's length. Two that differ are an error, and so is what is no number.
+    /// The body's length. Differing `Content-Length` values are an error, and so is a value that is not a
+    /// number.
     fn length(&self) -> Result<Option<usize>, ()> {
         let mut length = None;
         for (_, value) in self.0.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length")) {
@@ -45,7 +46,7 @@
 /// A request.
 #[derive(Debug, PartialEq)]
 pub struct Request {
-    /// GET, POST...
+    /// The method, such as GET or POST.
     pub method: String,
     /// Path and query as sent.
     pub target: String,
@@ -53,29 +54,30 @@
     pub headers: Headers,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection ends after the answer.
+    /// The connection closes after the response.
     pub close: bool,
 }
 
-/// Where reading stands.
+/// The result of parsing.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// More bytes are needed. The peer may be waiting for `100 Continue`.
+    /// More bytes are needed.
     Partial {
-        /// It is.
-        expects: bool,
+        /// The peer waits for `100 Continue` before it sends the body.
+        expects_continue: bool,
     },
-    /// Whole, and how many bytes it took.
-    Whole(T, usize),
-    /// Cannot be read: the status to answer with.
-    Bad(u16),
+    /// A complete message, and the number of bytes it used.
+    Complete(T, usize),
+    /// The message is malformed or too large; body_expected the status to respond with.
+    Invalid(u16),
 }
 
-/// Start line and headers, and where the body begins. `None` while the head is not whole.
-fn head(input: &[u8]) -> Result<Option<(&str, Headers, usize)>, u16> {
-    let end = input.windows(4).take(LONGEST_HEAD).position(|four| four == b"\r\n\r\n");
+/// Parses the start line and headers; also returns the offset of the body. `None` while the head is
+/// incomplete.
+fn parse_head(input: &[u8]) -> Result<Option<(&str, Headers, usize)>, u16> {
+    let end = input.windows(4).take(MAX_HEAD_BYTES).position(|four| four == b"\r\n\r\n");
     let Some(end) = end else {
-        return if input.len() > LONGEST_HEAD { Err(431) } else { Ok(None) };
+        return if input.len() > MAX_HEAD_BYTES { Err(431) } else { Ok(None) };
     };
     let text = std::str::from_utf8(&input[..end]).map_err(|_| 400u16)?;
     let mut lines = text.split("\r\n");
@@ -92,86 +94,87 @@
     Ok(Some((start, Headers(headers), end + 4)))
 }
 
-/// Reads a request from the front of `input`.
-pub fn request(input: &[u8]) -> Parsed<Request> {
-    request_within(input, LONGEST_BODY)
+/// Parses a request from the front of `input`.
+pub fn parse_request(input: &[u8]) -> Parsed<Request> {
+    parse_request_within(input, MAX_BODY_BYTES)
 }
 
-/// The same with another bound of the body.
-pub fn request_within(input: &[u8], longest_body: usize) -> Parsed<Request> {
-    read_request(input, longest_body, true)
+/// Like [`parse_request`], with another limit for the body.
+pub fn parse_request_within(input: &[u8], max_body: usize) -> Parsed<Request> {
+    parse_any_request(input, max_body, true)
 }
 
-/// The same where a method that usually carries a body need not tell its length: none told means none.
-pub fn call(input: &[u8], longest_body: usize) -> Parsed<Request> {
-    read_request(input, longest_body, false)
+/// Like [`parse_request_within`], but a POST, PUT or PATCH without `Content-Length` has an empty body.
+pub fn parse_call(input: &[u8], max_body: usize) -> Parsed<Request> {
+    parse_any_request(input, max_body, false)
 }
 
-fn read_request(input: &[u8], longest_body: usize, tells_length: bool) -> Parsed<Request> {
-    // Empty lines before a request are let pass.
+fn parse_any_request(input: &[u8], max_body: usize, length_required: bool) -> Parsed<Request> {
+    // Empty lines before a request are ignored.
     let skipped = input.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
-    if skipped > MOST_SKIPPED {
-        return Parsed::Bad(400);
+    if skipped > MAX_EMPTY_LINE_BYTES {
+        return Parsed::Invalid(400);
     }
     let input = &input[skipped..];
-    let (start, headers, at) = match head(input) {
+    let (start, headers, at) = match parse_head(input) {
         Ok(Some(head)) => head,
-        Ok(None) => return Parsed::Partial { expects: false },
-        Err(status) => return Parsed::Bad(status),
+        Ok(None) => return Parsed::Partial { expects_continue: false },
+        Err(status) => return Parsed::Invalid(status),
     };
     let mut words = start.split(' ');
     let (Some(method), Some(target), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Parsed::Bad(400);
+        return Parsed::Invalid(400);
     };
-    let old = version == "HTTP/1.0";
+    let http_1_0 = version == "HTTP/1.0";
     let method_ok = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
-    if !method_ok || !(old || version == "HTTP/1.1") || !target.starts_with('/') {
-        return Parsed::Bad(400);
+    if !method_ok || !(http_1_0 || version == "HTTP/1.1") || !target.starts_with('/') {
+        return Parsed::Invalid(400);
     }
-    let carries = tells_length && matches!(method, "POST" | "PUT" | "PATCH");
+    let body_expected = length_required && matches!(method, "POST" | "PUT" | "PATCH");
     let length = match headers.length() {
         Ok(length) => length,
-        Err(()) => return Parsed::Bad(400),
+        Err(()) => return Parsed::Invalid(400),
     };
-    // With both, another reader may take the body to end elsewhere, and what it hides for a request of its own.
+    // With both headers, another parser may find a different end of the body: what follows could be smuggled
+    // in as a request of its own.
     if headers.get("transfer-encoding").is_some() && length.is_some() {
-        return Parsed::Bad(400);
+        return Parsed::Invalid(400);
     }
-    if headers.get("transfer-encoding").is_some() || carries && length.is_none() {
-        return Parsed::Bad(411);
+    if headers.get("transfer-encoding").is_some() || body_expected && length.is_none() {
+        return Parsed::Invalid(411);
     }
     let length = length.unwrap_or(0);
-    if length > longest_body {
-        return Parsed::Bad(413);
+    if length > max_body {
+        return Parsed::Invalid(413);
     }
     let Some(body) = input.get(at..at + length) else {
-        return Parsed::Partial { expects: headers.has("expect", "100-continue") };
+        return Parsed::Partial { expects_continue: headers.has("expect", "100-continue") };
     };
-    let close = headers.has("connection", "close") || old && !headers.has("connection", "keep-alive");
+    let close = headers.has("connection", "close") || http_1_0 && !headers.has("connection", "keep-alive");
     let (method, target, body) = (method.to_owned(), target.to_owned(), body.to_vec());
-    Parsed::Whole(Request { method, target, headers, body, close }, skipped + at + length)
+    Parsed::Complete(Request { method, target, headers, body, close }, skipped + at + length)
 }
 
-/// An answer.
+/// A response.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its headers.
     pub headers: Headers,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection ends after it.
+    /// The connection closes after it.
     pub close: bool,
 }
 
-/// The status of the real answer, once its first line is whole; interim answers before it are skipped.
-pub fn first_line(mut input: &[u8]) -> Option<u16> {
-    for _ in 0..=MOST_INTERIM {
+/// The status of the final response once its status line is complete; interim responses are skipped.
+pub fn response_status(mut input: &[u8]) -> Option<u16> {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let end = input.iter().position(|&byte| byte == b'\n')?;
-        let status = status(std::str::from_utf8(&input[..end]).ok()?.trim_end())?;
+        let status = parse_status(std::str::from_utf8(&input[..end]).ok()?.trim_end())?;
         if status >= 200 {
             return Some(status);
         }
@@ -180,27 +183,27 @@
     None
 }
 
-/// Headers of the real answer whose lines have come whole, though its head may not have; interim answers before it are
-/// skipped. Empty where what has come is no answer.
-pub fn headers_so_far(mut input: &[u8]) -> Headers {
-    for _ in 0..=MOST_INTERIM {
+/// The complete header lines of the final response, even if its head is incomplete; interim responses are
+/// skipped. Empty if the input is not a response.
+pub fn complete_headers(mut input: &[u8]) -> Headers {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let Some(line_end) = input.iter().position(|&byte| byte == b'\n') else { break };
         let start = std::str::from_utf8(&input[..line_end]).map(str::trim_end);
-        match start.ok().and_then(status) {
+        match start.ok().and_then(parse_status) {
             Some(100..200) => match input.windows(4).position(|four| four == b"\r\n\r\n") {
                 Some(end) => input = &input[end + 4..],
                 None => break,
             },
-            Some(_) => return whole_lines(&input[line_end + 1..]),
+            Some(_) => return parse_complete_lines(&input[line_end + 1..]),
             None => break,
         }
     }
     Headers::default()
 }
 
-/// The headers of a head's whole lines, to its end or to what cannot be read.
-fn whole_lines(head: &[u8]) -> Headers {
-    let head = &head[..head.len().min(LONGEST_HEAD)];
+/// Parses the complete lines of a head, up to its end or to the first malformed line.
+fn parse_complete_lines(head: &[u8]) -> Headers {
+    let head = &head[..head.len().min(MAX_HEAD_BYTES)];
     let whole = head.split_inclusive(|&byte| byte == b'\n').map_while(|line| line.strip_suffix(b"\r\n"));
     let headers = whole.map_while(|line| {
         let (name, value) = std::str::from_utf8(line).ok()?.split_once(':')?;
@@ -209,78 +212,84 @@
     Headers(headers.collect())
 }
 
-/// Whether this may still become an answer: noise is known by its first bytes.
-fn begins_well(input: &[u8]) -> bool {
+/// Whether the input may still become a response. Noise fails on its first bytes.
+fn may_be_response(input: &[u8]) -> bool {
     input.iter().zip(b"HTTP/1.").all(|(byte, wanted)| byte == wanted)
 }
 
-fn status(line: &str) -> Option<u16> {
+fn parse_status(line: &str) -> Option<u16> {
     let rest = line.strip_prefix("HTTP/1.1 ").or_else(|| line.strip_prefix("HTTP/1.0 "))?;
     let code = rest.split(' ').next()?;
     code.parse().ok().filter(|number: &u16| code.len() == 3 && *number >= 100)
 }
 
-/// Reads an answer from the front of `input`, its body no longer than `most`; `ended` tells that no more will come.
-/// Interim answers before it are skipped.
-pub fn answer(input: &[u8], ended: bool, most: usize) -> Parsed<Answer> {
+/// Parses a response from the front of `input` with a body of at most `max_body` bytes; `ended` means that no
+/// more bytes will come. Interim responses are skipped.
+pub fn parse_response(input: &[u8], ended: bool, max_body: usize) -> Parsed<Response> {
     let mut skipped = 0;
-    for _ in 0..=MOST_INTERIM {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let rest = &input[skipped..];
-        if !begins_well(rest) {
+        if !may_be_response(rest) {
             break;
         }
-        let (start, headers, at) = match head(rest) {
+        let (start, headers, at) = match parse_head(rest) {
             Ok(Some(head)) => head,
-            Ok(None) if !ended => return Parsed::Partial { expects: false },
+            Ok(None) if !ended => return Parsed::Partial { expects_continue: false },
             _ => break,
         };
-        match status(start) {
+        match parse_status(start) {
             Some(100..200) => skipped += at,
             Some(status) => {
-                return match real_answer(status, headers, &rest[at..], ended, most) {
-                    Parsed::Whole(answer, used) => Parsed::Whole(answer, skipped + at + used),
+                return match parse_final_response(status, headers, &rest[at..], ended, max_body) {
+                    Parsed::Complete(answer, used) => Parsed::Complete(answer, skipped + at + used),
                     other => other,
                 };
             }
             None => break,
         }
     }
-    Parsed::Bad(400)
+    Parsed::Invalid(400)
 }
 
-/// The same behind the head: how long the body is, and whether it is all there.
-fn real_answer(status: u16, headers: Headers, rest: &[u8], ended: bool, most: usize) -> Parsed<Answer> {
-    let Ok(length) = headers.length() else { return Parsed::Bad(400) };
+/// Parses the rest of a response after its head: finds the body's length and whether it is complete.
+fn parse_final_response(
+    status: u16,
+    headers: Headers,
+    rest: &[u8],
+    ended: bool,
+    max_body: usize,
+) -> Parsed<Response> {
+    let Ok(length) = headers.length() else { return Parsed::Invalid(400) };
     let (body, used, mut close) = if status == 204 || status == 304 {
         (Vec::new(), 0, false)
     } else if headers.has("transfer-encoding", "chunked") {
-        match chunks(rest, most) {
+        match parse_chunks(rest, max_body) {
             Ok(Some((body, used))) => (body, used, false),
-            Ok(None) if !ended => return Parsed::Partial { expects: false },
-            _ => return Parsed::Bad(400),
+            Ok(None) if !ended => return Parsed::Partial { expects_continue: false },
+            _ => return Parsed::Invalid(400),
         }
     } else if let Some(length) = length {
-        if length > most {
-            return Parsed::Bad(400);
+        if length > max_body {
+            return Parsed::Invalid(400);
         }
         match rest.get(..length) {
             Some(body) => (body.to_vec(), length, false),
-            None if ended => return Parsed::Bad(400),
-            None => return Parsed::Partial { expects: false },
+            None if ended => return Parsed::Invalid(400),
+            None => return Parsed::Partial { expects_continue: false },
         }
-    } else if rest.len() > most {
-        return Parsed::Bad(400);
+    } else if rest.len() > max_body {
+        return Parsed::Invalid(400);
     } else if ended {
         (rest.to_vec(), rest.len(), true)
     } else {
-        return Parsed::Partial { expects: false };
+        return Parsed::Partial { expects_continue: false };
     };
     close |= headers.has("connection", "close");
-    Parsed::Whole(Answer { status, headers, body, close }, used)
+    Parsed::Complete(Response { status, headers, body, close }, used)
 }
 
-/// A chunked body, and how many bytes it took; `None` while it is not whole.
-fn chunks(input: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, ()> {
+/// A chunked body and the number of bytes it used; `None` while it is incomplete.
+fn parse_chunks(input: &[u8], max_body: usize) -> Result<Option<(Vec<u8>, usize)>, ()> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let Some(end) = input[at..].windows(2).position(|two| two == b"\r\n") else {
@@ -288,7 +297,7 @@
         };
         let line = std::str::from_utf8(&input[at..at + end]).map_err(|_| ())?;
         let size = usize::from_str_radix(line.split(';').next().unwrap_or("").trim(), 16).map_err(|_| ())?;
-        if body.len().saturating_add(size) > most {
+        if body.len().saturating_add(size) > max_body {
             return Err(());
         }
         at += end + 2;
@@ -304,9 +313,9 @@
     }
 }
 
-/// Writes an answer.
-pub fn write_answer(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+/// Writes a response.
+pub fn write_response(status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) -> Vec<u8> {
+    let mut out = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         out.push_str(&format!("{name}: {value}\r\n"));
     }
@@ -319,7 +328,7 @@
     out
 }
 
-/// Writes a request; `headers` are whole lines, each with its CRLF.
+/// Writes a request; `headers` are complete lines, each with its CRLF.
 pub fn write_request(method: &str, target: &str, host: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     let mut out = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n{headers}{length}\r\n").into_bytes();
@@ -327,7 +336,7 @@
     out
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/src/net/list/mod.rs
+++ b/src/net/list/mod.rs
@@ -1,4 +1,4 @@
-//! Service entries: what the list says of real servers, from wherever it comes.
+//! The endpoint list: endpoint records from discovery, DNS-SD and other sources.
 
 pub mod dns_sd;
 pub mod round;
@@ -12,49 +12,50 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One service entry.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Its name.
+pub struct ListEntry {
+    /// The endpoint's name.
     pub name: String,
-    /// What the module sees of it.
-    pub member: EndpointRecord,
-    /// Where it listens; absent in the news that it is gone.
+    /// The endpoint record that the engine works with.
+    #[serde(rename = "member")]
+    pub record: EndpointRecord,
+    /// The endpoint's address; absent in an update that reports the endpoint as gone.
     pub address: Option<SocketAddr>,
 }
 
-/// News of the list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
-    /// Its version.
+pub struct ListUpdate {
+    /// The list's version.
     pub generation: u64,
-    /// The whole list, not changes.
+    /// The entries are the complete list, not changes to it.
     pub whole: bool,
-    /// The entries.
-    pub entries: Vec<Entry>,
+    /// The entries that are listed or have changed.
+    pub entries: Vec<ListEntry>,
 }
 
-/// The list as it is held: what the news so far add up to.
+/// The current endpoint list: the result of all updates so far.
 #[derive(Debug, Default)]
-pub struct Book(pub BTreeMap<EndpointId, Entry>);
+pub struct EndpointList(pub BTreeMap<EndpointId, ListEntry>);
 
-impl Book {
-    /// Takes news in; of a whole list, who is missing is gone.
-    pub fn learn(&mut self, news: &News) {
-        if news.whole {
+impl EndpointList {
+    /// Applies an update. A complete list removes every endpoint that it does not contain.
+    pub fn apply(&mut self, update: &ListUpdate) {
+        if update.whole {
             self.0.clear();
         }
-        for entry in &news.entries {
-            if entry.member.lifecycle == Lifecycle::Gone {
-                self.0.remove(&entry.member.endpoint);
+        for entry in &update.entries {
+            if entry.record.lifecycle == Lifecycle::Gone {
+                self.0.remove(&entry.record.endpoint);
             } else {
-                self.0.insert(entry.member.endpoint, entry.clone());
+                self.0.insert(entry.record.endpoint, entry.clone());
             }
         }
     }
 }
 
-/// Names of kinds and zones, in the order of the settings.
+/// Names of destination kinds and zones, in the order of the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Names {
     /// Kinds of destination.
@@ -64,18 +65,18 @@
 }
 
 impl Names {
-    /// Where kinds and zones that stood in another order stand here; what is unknown here stands behind all.
-    pub fn places(&self, before: &Names) -> crate::IndexMapping {
-        let place =
+    /// Maps indices of kinds and zones in `before` to indices here. A name unknown here maps past the end.
+    pub fn index_mapping(&self, before: &Names) -> crate::IndexMapping {
+        let index_of =
             |here: &[String], name: &String| here.iter().position(|one| one == name).unwrap_or(here.len());
         crate::IndexMapping {
-            kinds: before.kinds.iter().map(|name| place(&self.kinds, name)).collect(),
-            zones: before.zones.iter().map(|name| place(&self.zones, name)).collect(),
+            kinds: before.kinds.iter().map(|name| index_of(&self.kinds, name)).collect(),
+            zones: before.zones.iter().map(|name| index_of(&self.zones, name)).collect(),
         }
     }
 }
 
-/// The number of a real server: the same for the same name, in every process.
+/// The id of an endpoint: a hash of its name (FNV-1a), the same in every process.
 pub fn endpoint_id(name: &str) -> EndpointId {
     let hash = name
         .bytes()
@@ -83,28 +84,29 @@
     EndpointId(hash)
 }
 
-/// Reads discovery's form. An entry that cannot be read is left out; a list that cannot be read is an error.
-pub fn read(value: &BorrowedValue, names: &Names) -> Option<News> {
+/// Parses discovery's JSON format. A malformed entry is left out; a malformed list is an error.
+pub fn read(value: &BorrowedValue, names: &Names) -> Option<ListUpdate> {
     let generation = value.get_u64("generation")?;
     let whole = value.get_bool("reset").unwrap_or(false);
-    let entries = value.get_array("instances")?.iter().filter_map(|one| entry(one, names)).collect();
-    Some(News { generation, whole, entries })
+    let entries =
+        value.get_array("instances")?.iter().filter_map(|instance| parse_entry(instance, names)).collect();
+    Some(ListUpdate { generation, whole, entries })
 }
 
-/// Writes a whole list in discovery's form; [`read`] reads it back.
-pub fn write<'a>(generation: u64, entries: impl Iterator<Item = &'a Entry>, names: &Names) -> Vec<u8> {
-    let name = |known: &[String], place: usize| known.get(place).cloned().unwrap_or_default();
+/// Writes a complete list in discovery's JSON format; [`read`] parses it.
+pub fn write<'a>(generation: u64, entries: impl Iterator<Item = &'a ListEntry>, names: &Names) -> Vec<u8> {
+    let name_at = |known: &[String], index: usize| known.get(index).cloned().unwrap_or_default();
     let instances: Vec<serde_json::Value> = entries
-        .map(|Entry { name: id, member, address }| {
-            let lifecycle = match member.lifecycle {
+        .map(|ListEntry { name: id, record, address }| {
+            let lifecycle = match record.lifecycle {
                 Lifecycle::Ready => "up",
                 Lifecycle::Draining => "draining",
                 Lifecycle::Gone => "gone",
             };
             serde_json::json!({
                 "instanceId": id, "hostPort": address.map(|address| address.to_string()),
-                "zone": name(&names.zones, member.zone as usize), "machineType": name(&names.kinds, member.kind),
-                "cell": member.destination.0, "lifecycle": lifecycle, "weight": member.weight,
+                "zone": name_at(&names.zones, record.zone as usize), "machineType": name_at(&names.kinds, record.kind),
+                "cell": record.destination.0, "lifecycle": lifecycle, "weight": record.weight,
             })
         })
         .collect();
@@ -113,13 +115,13 @@
         .into_bytes()
 }
 
-fn entry(value: &BorrowedValue, names: &Names) -> Option<Entry> {
+fn parse_entry(value: &BorrowedValue, names: &Names) -> Option<ListEntry> {
     let lifecycle = match value.get_str("lifecycle")? {
         "up" => Lifecycle::Ready,
         "draining" => Lifecycle::Draining,
         _ => Lifecycle::Gone,
     };
-    let place = |known: &[String], key: &str| {
+    let index_of = |known: &[String], key: &str| {
         let name = value.get_str(key).unwrap_or_default();
         known.iter().position(|one| one == name).unwrap_or(known.len())
     };
@@ -128,13 +130,13 @@
         return None;
     }
     let name = value.get_str("instanceId")?.to_owned();
-    let member = EndpointRecord {
+    let record = EndpointRecord {
         endpoint: endpoint_id(&name),
         destination: DestinationId(value.get_u64("cell").unwrap_or(u64::MAX)),
-        zone: place(&names.zones, "zone") as u32,
-        kind: place(&names.kinds, "machineType"),
+        zone: index_of(&names.zones, "zone") as u32,
+        kind: index_of(&names.kinds, "machineType"),
         lifecycle,
         weight: value.get("weight").and_then(|weight| weight.cast_f64()).unwrap_or(0.0),
     };
-    Some(Entry { name, member, address })
+    Some(ListEntry { name, record, address })
 }
--- a/src/net/list/round.rs
+++ b/src/net/list/round.rs
@@ -1,128 +1,130 @@
-//! One clock for silence: what a watch asks next, how long it is waited for, and when the next call goes, whatever became of the
-//! last. A change counts as told 6 s after discovery had it and could be reached, so a call that is waited for, the pause behind
-//! it and the next one's answer fit into that, after each kind of failure and for any size of the fleet. No I/O.
+//! Timing of the discovery watch: what the next call asks for, its time-out, and the delay before it after
+//! each result of the last call. A change must be known 6 s after discovery had it and was reachable. The
+//! time-out of a call, the backoff after it and the next call's answer therefore fit into 6 s, for each kind
+//! of failure and any fleet size. No I/O.
 
-use super::spread::Spread;
+use super::spread::CallSpread;
 use crate::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// How long discovery may hold a call that has nothing to tell...
-const HOLD: Micros = Micros(4_000_000);
-/// ...and the first one of a start, whose watch may be silent from its first moment.
-const FIRST_HOLD: Micros = Micros(2_000_000);
-/// An agent that is silent for so long beyond a hold is asked anew, on a new connection...
-const LATE: Micros = Micros(300_000);
-/// ...by a call that it answers at once, within so long...
-const ANSWER: Micros = Micros(1_000_000);
-/// ...or, where several got no answer, so long: it may be there and slow.
-const SLOW_ANSWER: Micros = Micros(2_500_000);
-/// So many calls without an answer make it slow, or away; until then it is asked again soon.
-const SOON: u32 = 2;
+/// How long discovery may hold a call while there is no change.
+const MAX_HOLD: Micros = Micros(4_000_000);
+/// The hold of the first call after a start: that watch may be silent from its first moment.
+const FIRST_CALL_HOLD: Micros = Micros(2_000_000);
+/// A held call without an answer this long after its hold has timed out; the next call uses a new connection.
+const HOLD_GRACE: Micros = Micros(300_000);
+/// Time-out of a call that discovery answers at once.
+const ANSWER_TIMEOUT: Micros = Micros(1_000_000);
+/// The same after several calls without an answer: discovery may be reachable but slow.
+const SLOW_ANSWER_TIMEOUT: Micros = Micros(2_500_000);
+/// After this many time-outs in a row discovery counts as slow or down; until then the retry follows soon.
+const QUICK_RETRIES: u32 = 2;
 
-/// Where the watch stands.
+/// State of the watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// No call is out.
+    /// No call is in progress.
     #[default]
-    Resting,
-    /// One is out that is to be answered at once.
-    Asked,
-    /// One is out that may be held.
+    Idle,
+    /// A call that is to be answered at once is in progress.
+    Immediate,
+    /// A call that discovery may hold is in progress.
     Held,
-    /// So many calls in a row got no answer that can be used; the next is asked without a hold.
-    Missed(u32),
+    /// This many calls in a row got no usable answer; the next one is sent without a hold.
+    Failed(u32),
 }
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
-    /// No answer in its time.
-    Silent,
-    /// Its connection was refused, reset or closed, or the answer cannot be read.
+pub enum WatchFailure {
+    /// No answer before the time-out.
+    TimedOut,
+    /// The connection was refused, reset or closed, or the answer is malformed.
     Broken,
-    /// Discovery is too busy.
-    TurnedAway,
+    /// Discovery answered that it is too busy.
+    Rejected,
 }
 
-/// A call to be made: how long it may be held, and when it counts as unanswered.
+/// The next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// How long discovery may hold it.
+pub struct WatchCall {
+    /// How long discovery may hold it; 0 asks for an answer at once.
     pub hold: Micros,
-    /// How long it is waited for.
-    pub patience: Micros,
+    /// Time after which it counts as unanswered.
+    pub timeout: Micros,
 }
 
-/// See the module's text.
-pub struct Round {
-    spread: Spread,
+/// Decides what the watch sends and when.
+pub struct WatchSchedule {
+    spread: CallSpread,
     stage: Stage,
-    misses: u32,
-    turned_away: bool,
-    /// A call was answered: the watch goes on.
-    going: bool,
+    failures: u32,
+    rejected: bool,
+    /// A call of this watch has been answered.
+    established: bool,
 }
 
-impl Round {
-    /// Nothing asked yet.
-    pub fn new(spread: Spread) -> Round {
-        Round { spread, stage: Stage::Resting, misses: 0, turned_away: false, going: false }
+impl WatchSchedule {
+    /// Creates the schedule of a watch that has not sent a call yet.
+    pub fn new(spread: CallSpread) -> WatchSchedule {
+        WatchSchedule { spread, stage: Stage::Idle, failures: 0, rejected: false, established: false }
     }
 
-    /// Where it stands.
+    /// The current state.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How long after the start the first call waits.
-    pub fn start(&mut self) -> Micros {
-        self.spread.start()
+    /// Delay from the start to the first call.
+    pub fn start_delay(&mut self) -> Micros {
+        self.spread.start_delay()
     }
 
-    /// The watch of a process before goes on: how long its next call waits.
-    pub fn follow(&mut self) -> Micros {
-        self.going = true;
-        self.spread.go_on()
+    /// Continues the predecessor process's watch; returns the delay before the next call.
+    pub fn resume(&mut self) -> Micros {
+        self.established = true;
+        self.spread.next_call_delay()
     }
 
-    /// Another discovery: nothing is known of it.
-    pub fn begin_anew(&mut self) {
-        (self.stage, self.misses, self.turned_away, self.going) = (Stage::Resting, 0, false, false);
+    /// Forgets all results: discovery has moved to another address.
+    pub fn reset(&mut self) {
+        (self.stage, self.failures, self.rejected, self.established) = (Stage::Idle, 0, false, false);
     }
 
-    /// The next call goes out; with a list known, it may be one that waits for changes.
-    pub fn ask(&mut self, knows: bool) -> Ask {
-        let hold = match (knows, self.misses, self.going) {
-            (true, 0, true) => HOLD,
-            (true, 0, false) => FIRST_HOLD,
+    /// Begins the next call. If a list is known, discovery may hold the call until there is a change.
+    pub fn next_call(&mut self, list_known: bool) -> WatchCall {
+        let hold = match (list_known, self.failures, self.established) {
+            (true, 0, true) => MAX_HOLD,
+            (true, 0, false) => FIRST_CALL_HOLD,
             _ => Micros(0),
         };
-        self.stage = if hold > Micros(0) { Stage::Held } else { Stage::Asked };
-        let patience = match (hold, self.misses) {
-            (Micros(0), misses) if misses > SOON && !self.turned_away => SLOW_ANSWER,
-            (Micros(0), _) => ANSWER,
-            (hold, _) => hold.plus(LATE),
+        self.stage = if hold > Micros(0) { Stage::Held } else { Stage::Immediate };
+        let timeout = match (hold, self.failures) {
+            (Micros(0), failures) if failures > QUICK_RETRIES && !self.rejected => SLOW_ANSWER_TIMEOUT,
+            (Micros(0), _) => ANSWER_TIMEOUT,
+            (hold, _) => hold.plus(HOLD_GRACE),
         };
-        Ask { hold, patience }
+        WatchCall { hold, timeout }
     }
 
-    /// A list has come: how long the next call waits.
+    /// A list has been received; returns the delay before the next call.
     pub fn answered(&mut self) -> Micros {
-        (self.stage, self.misses, self.turned_away, self.going) = (Stage::Resting, 0, false, true);
-        self.spread.go_on()
+        (self.stage, self.failures, self.rejected, self.established) = (Stage::Idle, 0, false, true);
+        self.spread.next_call_delay()
     }
 
-    /// No list has come: how long the next call waits.
-    pub fn missed(&mut self, miss: Miss) -> Micros {
-        self.misses = self.misses.saturating_add(1);
-        (self.stage, self.turned_away) = (Stage::Missed(self.misses), miss == Miss::TurnedAway);
-        match miss {
-            // Watches that fell silent in one moment were begun in many: all asked anew soon, they are spread as they were.
-            Miss::Silent if self.misses <= SOON => self.spread.after_silence(),
-            Miss::Silent | Miss::Broken => self.spread.after_failure(),
-            Miss::TurnedAway => self.spread.turned_away(),
+    /// The call returned no list; returns the delay before the next call.
+    pub fn failed(&mut self, failure: WatchFailure) -> Micros {
+        self.failures = self.failures.saturating_add(1);
+        (self.stage, self.rejected) = (Stage::Failed(self.failures), failure == WatchFailure::Rejected);
+        match failure {
+            // Watches that fall silent in the same moment were begun at different times, so their retries are
+            // already spread although each follows soon.
+            WatchFailure::TimedOut if self.failures <= QUICK_RETRIES => self.spread.timeout_backoff(),
+            WatchFailure::TimedOut | WatchFailure::Broken => self.spread.failure_backoff(),
+            WatchFailure::Rejected => self.spread.rejection_backoff(),
         }
     }
 }
--- a/src/net/list/spread.rs
+++ b/src/net/list/spread.rs
@@ -1,94 +1,98 @@
-//! When discovery is asked: what one forwarder does at once, all of them do in that moment. A hundred that start
-//! together, hear of one change together, or are turned away together ask again at moments of their own, drawn from
-//! the instance's seed; and the more senders there are, the longer a list that cannot be had is waited for. Small fleets
-//! ask at once, as before.
+//! Random delays of discovery calls. All forwarders of a fleet react to the same event in the same moment: a
+//! hundred may start together, receive one change together, or be rejected together. Each one therefore draws
+//! its delay from the instance's seed. The larger the fleet, the longer the backoff after a failure. Small
+//! fleets call almost at once.
 
 use crate::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Discovery is taken to serve one more sender in this time: a fleet's calls are spread over as many.
-const EACH: u64 = 10_000;
-/// The first call after a start comes within this time, however many there are.
-const START_MOST: u64 = 1_500_000;
-/// A watch goes on where the next call comes within 200 ms of the answer: well before.
-const GO_ON_MOST: u64 = 120_000;
-/// The first pause after a failure is drawn from up to this, and doubles...
-const FIRST_PAUSE: u64 = 200_000;
-/// ...up to this in a small fleet...
-const LONGEST_PAUSE: u64 = 1_000_000;
-/// ...and this in a large one: with the next call's answer, it stays within the 6 s after which a change counts as told.
-const LONGEST_IN_A_FLEET: u64 = 2_500_000;
-/// The first calls after silence go within this time.
-const SOON: u64 = 200_000;
-/// A discovery that turns calls away is overbooked, and calls that it turns away may keep it so: each of a fleet draws its pause
-/// from up to so much for each sender, and from no less than half of it...
-const EACH_TURNED_AWAY: u64 = 80_000;
-/// ...up to this, for the same reason.
-const LONGEST_TURNED_AWAY: u64 = 4_500_000;
-/// No pause is shorter.
-const SHORTEST: u64 = 20_000;
+// All times here are in microseconds.
 
-/// The moments of one forwarder.
-pub struct Spread {
+/// Time in which discovery is assumed to serve one more forwarder: a fleet's calls are spread over this times
+/// its size.
+const DELAY_PER_FORWARDER: u64 = 10_000;
+/// Upper bound of the delay of the first call after a start, for any fleet size.
+const MAX_START_DELAY: u64 = 1_500_000;
+/// Upper bound of the delay between an answer and the next call of a watch. Discovery counts a watch as
+/// continued if the next call comes within 200 ms of the answer.
+const MAX_NEXT_CALL_DELAY: u64 = 120_000;
+/// The first backoff after a failure is drawn from up to this; the bound doubles with each failure.
+const FIRST_BACKOFF: u64 = 200_000;
+/// Upper bound of the backoff in a small fleet.
+const MAX_BACKOFF: u64 = 1_000_000;
+/// Upper bound in a large fleet: with the next call's answer, a change is still known within 6 s.
+const MAX_FLEET_BACKOFF: u64 = 2_500_000;
+/// Upper bound of the backoff after the first time-outs.
+const MAX_TIMEOUT_BACKOFF: u64 = 200_000;
+/// A discovery that rejects calls is overloaded, and the rejected calls may keep it overloaded. The backoff
+/// is drawn from between half of this times the fleet size and the whole.
+const REJECTION_BACKOFF_PER_FORWARDER: u64 = 80_000;
+/// Upper bound of the backoff after a rejection; the same 6 s limit applies.
+const MAX_REJECTION_BACKOFF: u64 = 4_500_000;
+/// Lower bound of every backoff.
+const MIN_BACKOFF: u64 = 20_000;
+
+/// Draws the delays of one forwarder.
+pub struct CallSpread {
     random: fastrand::Rng,
-    senders: u64,
+    forwarders: u64,
     failures: u32,
 }
 
-impl Spread {
-    /// For one of so many senders.
-    pub fn new(senders: u32, seed: u64) -> Spread {
-        Spread { random: fastrand::Rng::with_seed(seed), senders: u64::from(senders), failures: 0 }
+impl CallSpread {
+    /// Creates the delays of one of `forwarders` forwarders.
+    pub fn new(forwarders: u32, seed: u64) -> CallSpread {
+        CallSpread { random: fastrand::Rng::with_seed(seed), forwarders: u64::from(forwarders), failures: 0 }
     }
 
-    fn draw(&mut self, most: u64) -> Micros {
-        Micros(self.random.u64(0..=most))
+    fn random_up_to(&mut self, max: u64) -> Micros {
+        Micros(self.random.u64(0..=max))
     }
 
-    /// The time that all siblings need if one follows the other; none for one alone.
-    fn fleet(&self) -> u64 {
-        EACH * self.senders.saturating_sub(1)
+    /// Time that the other forwarders' calls take one after the other; 0 for a single forwarder.
+    fn fleet_time(&self) -> u64 {
+        DELAY_PER_FORWARDER * self.forwarders.saturating_sub(1)
     }
 
-    /// How long after the start the first call waits.
-    pub fn start(&mut self) -> Micros {
-        self.draw(self.fleet().min(START_MOST))
+    /// Delay from the start to the first call.
+    pub fn start_delay(&mut self) -> Micros {
+        self.random_up_to(self.fleet_time().min(MAX_START_DELAY))
     }
 
-    /// How long after an answer the next call of a watch waits.
-    pub fn go_on(&mut self) -> Micros {
+    /// Delay from an answer to the next call of a watch.
+    pub fn next_call_delay(&mut self) -> Micros {
         self.failures = 0;
-        self.draw(self.fleet().min(GO_ON_MOST))
+        self.random_up_to(self.fleet_time().min(MAX_NEXT_CALL_DELAY))
     }
 
-    /// How long after the first silence the next call waits.
-    pub fn after_silence(&mut self) -> Micros {
+    /// Delay before the next call after one of the first time-outs.
+    pub fn timeout_backoff(&mut self) -> Micros {
         self.failures += 1;
-        self.draw(SOON - SHORTEST).plus(Micros(SHORTEST))
+        self.random_up_to(MAX_TIMEOUT_BACKOFF - MIN_BACKOFF).plus(Micros(MIN_BACKOFF))
     }
 
-    /// How long after a call that failed the next one waits.
-    pub fn after_failure(&mut self) -> Micros {
-        let longest = LONGEST_PAUSE.max(4 * self.fleet()).min(LONGEST_IN_A_FLEET);
-        let most = self.doubled(FIRST_PAUSE.max(self.fleet()), longest);
-        self.draw(most - SHORTEST).plus(Micros(SHORTEST))
+    /// Delay before the next call after a failed call.
+    pub fn failure_backoff(&mut self) -> Micros {
+        let limit = MAX_BACKOFF.max(4 * self.fleet_time()).min(MAX_FLEET_BACKOFF);
+        let max = self.doubled(FIRST_BACKOFF.max(self.fleet_time()), limit);
+        self.random_up_to(max - MIN_BACKOFF).plus(Micros(MIN_BACKOFF))
     }
 
-    /// How long after a call that was turned away the next one waits.
-    pub fn turned_away(&mut self) -> Micros {
-        let fleet = EACH_TURNED_AWAY.saturating_mul(self.senders.saturating_sub(1));
-        let longest = LONGEST_PAUSE.max(fleet.saturating_mul(4)).min(LONGEST_TURNED_AWAY);
-        let most = self.doubled(FIRST_PAUSE.max(fleet), longest);
-        self.draw(most / 2).plus(Micros(most - most / 2))
+    /// Delay before the next call after a rejected call.
+    pub fn rejection_backoff(&mut self) -> Micros {
+        let fleet = REJECTION_BACKOFF_PER_FORWARDER.saturating_mul(self.forwarders.saturating_sub(1));
+        let limit = MAX_BACKOFF.max(fleet.saturating_mul(4)).min(MAX_REJECTION_BACKOFF);
+        let max = self.doubled(FIRST_BACKOFF.max(fleet), limit);
+        self.random_up_to(max / 2).plus(Micros(max - max / 2))
     }
 
-    /// A bound that doubles with each failure.
-    fn doubled(&mut self, first: u64, longest: u64) -> u64 {
-        let first = first.min(longest);
-        let most = first.saturating_mul(1 << self.failures.min(16)).min(longest);
+    /// Doubles `first` with each failure, up to `limit`, and counts the failure.
+    fn doubled(&mut self, first: u64, limit: u64) -> u64 {
+        let first = first.min(limit);
+        let max = first.saturating_mul(1 << self.failures.min(16)).min(limit);
         self.failures += 1;
-        most
+        max
     }
 }
--- a/src/net/node/operations.rs
+++ b/src/net/node/operations.rs
@@ -100,7 +100,7 @@
             "results": serde_json::Value::Object(results.collect()),
             "forwards": forwards,
             "outstanding": self.engine.outstanding(),
-            "discovered": self.book.0.len(),
+            "discovered": self.endpoint_list.0.len(),
             "ejected": self.engine.open_circuits(),
             "stage": self.life.stage().name(),
         });
@@ -122,8 +122,12 @@
     /// A connection of the administration is ready, or its change has its answer.
     pub(in crate::net) fn administer(&mut self, token: u64, now: Micros, told: Option<admin::Answer>) {
         let Some(admin) = &mut self.admin else { return };
-        let context =
-            ApiContext { engine: &self.engine, book: &self.book, change_service: &self.change_service, now };
+        let context = ApiContext {
+            engine: &self.engine,
+            endpoint_list: &self.endpoint_list,
+            change_service: &self.change_service,
+            now,
+        };
         let waiting = self.asks.len();
         match told {
             None => admin.ready(&self.poll, token, context, &mut self.inputs, &mut self.asks, waiting),
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -140,7 +140,7 @@
         if let Some(listener) = &self.listener {
             poll.listen(listener, Peer::OpsListener)?;
         }
-        self.connections.retain(|&token, one| one.stream.move_to(poll, token).is_ok());
+        self.connections.retain(|&token, one| one.stream.register(poll, token).is_ok());
         Ok(())
     }
 
@@ -162,9 +162,9 @@
         loop {
             let Some(listener) = &self.listener else { return };
             let before = self.listener_failures;
-            let mut next = stream::next(listener, "operators' calls", &mut self.listener_failures);
+            let mut next = stream::accept_next(listener, "operators' calls", &mut self.listener_failures);
             if next.is_none() && self.listener_failures > before && self.reserve.take().is_some() {
-                next = stream::next(listener, "operators' calls", &mut self.listener_failures);
+                next = stream::accept_next(listener, "operators' calls", &mut self.listener_failures);
             }
             let Some(socket) = next else { break };
             if self.connections.len() >= MAX_CONNECTIONS {
@@ -201,15 +201,15 @@
         }
         let is_plan = one.stream.input.starts_with(b"PUT /ops/maintenance ");
         let max_body = if is_plan { MAX_PLAN_BYTES } else { MAX_BODY_BYTES };
-        let error = match http::call(&one.stream.input, max_body) {
-            Parsed::Whole(request, _) => match parse_command(&request) {
+        let error = match http::parse_call(&one.stream.input, max_body) {
+            Parsed::Complete(request, _) => match parse_command(&request) {
                 Ok(command) => {
                     one.pending = matches!(command, Command::ChangeMaintenance(_));
                     return Some(command);
                 }
                 Err(error) => error,
             },
-            Parsed::Bad(status) => Answer::plain(status, "the call cannot be read"),
+            Parsed::Invalid(status) => Answer::plain(status, "the call cannot be read"),
             Parsed::Partial { .. } if one.stream.input.len() > MAX_HEAD_BYTES + max_body => {
                 Answer::plain(431, "the call is too long")
             }
@@ -229,7 +229,7 @@
         let Some(one) = self.connections.get_mut(&token) else { return };
         let mut headers = vec![("Content-Type", "application/json"), ("Cache-Control", "no-store")];
         headers.extend(answer.allow.map(|method| ("Allow", method)));
-        let bytes = http::write_answer(answer.status, &headers, answer.body.as_bytes(), true);
+        let bytes = http::write_response(answer.status, &headers, answer.body.as_bytes(), true);
         (one.answered_at, one.pending) = (Some(now), false);
         one.stream.input.clear();
         if one.stream.send(poll, &bytes).is_err() || one.stream.ended && one.stream.flushed() {
--- a/src/net/servers/amqp.rs
+++ b/src/net/servers/amqp.rs
@@ -1,5 +1,6 @@
-//! Calls to brokers: a publish with confirms and `mandatory`. One connection a broker; each channel carries one call
-//! at a time, so giving up a call closes its channel and touches no other.
+//! Calls to AMQP brokers: publishes with confirms and the `mandatory` flag. There is one connection to each
+//! broker. Each channel carries one call at a time, so cancelling a call closes its channel and affects no
+//! other call.
 
 use crate::config::model::Broker;
 use crate::directory::Directory;
@@ -12,81 +13,86 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Heartbeat interval asked for, in seconds.
-const HEARTBEAT: u16 = 20;
-/// Channels on one connection at most.
-const MOST_CHANNELS: u16 = 256;
+/// Heartbeat interval proposed to the broker.
+const HEARTBEAT_SECONDS: u16 = 20;
+/// Largest number of channels on one connection.
+const MAX_CHANNELS: u16 = 256;
 
 enum Stage {
-    /// Handshake: nothing of any call is written before it is over.
+    /// Handshake in progress: no call is published before it is complete.
     Opening,
     Open,
 }
 
-struct Link {
+struct BrokerConnection {
     endpoint: EndpointId,
-    /// As it was when the connection began: what was published there ends there.
+    /// The broker's settings when the connection began; calls published on this connection end on it.
     broker: Rc<Broker>,
-    /// The broker is another or none by now: no call begins here any more.
-    leaving: bool,
+    /// The broker's settings have changed or the broker is gone: no new call begins on this connection.
+    retired: bool,
     stream: Stream,
     stage: Stage,
-    began: Micros,
+    began_at: Micros,
     frame_max: u32,
     channel_max: u16,
     heartbeats: HeartbeatTimer,
     channels: BTreeMap<u16, Channel>,
-    /// Numbers whose close is not confirmed yet: not to be used again.
+    /// Channels whose close is not confirmed yet: their numbers must not be reused.
     closing: Vec<u16>,
 }
 
 #[derive(Default)]
 struct Channel {
-    /// Confirms are on; before that, nothing is published.
+    /// Confirm mode is on; nothing is published before that.
     open: bool,
     next_tag: u64,
-    /// The next content is one that could not be routed.
+    /// The next content header belongs to a message that the broker returned as unroutable.
     returning: bool,
-    call: Option<Out>,
+    call: Option<ActiveCall>,
 }
 
-struct Out {
+struct ActiveCall {
     call: CallId,
-    /// What is to be published once the channel is open.
+    /// Messages to publish once the channel is open.
     waiting: Option<Vec<Item>>,
     written: bool,
-    /// Flows without an outcome: delivery tag, place in the order, id.
-    open: Vec<(u64, usize, std::rc::Rc<[u8]>)>,
+    /// Messages without an outcome: delivery tag, index in the call, message id.
+    unconfirmed: Vec<(u64, usize, std::rc::Rc<[u8]>)>,
 }
 
 /// Connections to brokers.
-pub struct Brokers {
+pub struct BrokerConnections {
     brokers: BTreeMap<EndpointId, Rc<Broker>>,
-    links: BTreeMap<u64, Link>,
+    connections: BTreeMap<u64, BrokerConnection>,
     directory: Rc<Directory>,
     dial_timeout: Micros,
 }
 
-impl Brokers {
-    /// Handshakes not over within `dial_timeout` have failed.
-    pub fn new(brokers: &[Broker], directory: Rc<Directory>, dial_timeout: Micros) -> Brokers {
-        let mut new = Brokers { brokers: BTreeMap::new(), links: BTreeMap::new(), directory, dial_timeout };
+impl BrokerConnections {
+    /// A handshake that is not complete within `dial_timeout` has failed.
+    pub fn new(brokers: &[Broker], directory: Rc<Directory>, dial_timeout: Micros) -> BrokerConnections {
+        let mut new = BrokerConnections {
+            brokers: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            directory,
+            dial_timeout,
+        };
         new.configure(brokers);
         new
     }
 
-    /// Other brokers from now on. Calls that are out on a connection to one that is gone or another end there, each with
-    /// its own outcome; the connection goes with the last of them. Cost: the brokers.
+    /// Replaces the brokers. Calls on a connection to a broker that is gone or has changed end there with
+    /// their own outcomes; the connection closes after the last of them. Cost: linear in the brokers.
     pub fn configure(&mut self, brokers: &[Broker]) {
         let brokers = brokers.iter().map(|broker| (endpoint_id(&broker.name), Rc::new(broker.clone())));
         self.brokers = brokers.collect();
-        for link in self.links.values_mut() {
-            link.leaving |= self.brokers.get(&link.endpoint) != Some(&link.broker);
+        for connection in self.connections.values_mut() {
+            connection.retired |= self.brokers.get(&connection.endpoint) != Some(&connection.broker);
         }
     }
 
-    /// Other names count from now on.
-    pub fn rename(&mut self, directory: Rc<Directory>, dial_timeout: Micros) {
+    /// Replaces the directory of names and the dial time-out.
+    pub fn set_directory(&mut self, directory: Rc<Directory>, dial_timeout: Micros) {
         (self.directory, self.dial_timeout) = (directory, dial_timeout);
     }
 
@@ -107,8 +113,9 @@
         let Some(broker) = self.brokers.get(&endpoint) else {
             return inputs.push(Input::ConnectionFailed(call));
         };
-        let fit = |link: &Link| link.endpoint == endpoint && !link.leaving;
-        let known = self.links.iter().find(|(_, link)| fit(link)).map(|(&token, _)| token);
+        let usable = |connection: &BrokerConnection| connection.endpoint == endpoint && !connection.retired;
+        let known =
+            self.connections.iter().find(|(_, connection)| usable(connection)).map(|(&token, _)| token);
         let token = known.unwrap_or_else(|| poll.token(Peer::Broker));
         if known.is_none() {
             let connected = Stream::connect(poll, token, broker.address).and_then(|mut stream| {
@@ -116,165 +123,172 @@
                 Ok(stream)
             });
             let Ok(stream) = connected else { return inputs.push(Input::ConnectionFailed(call)) };
-            let link = Link {
+            let connection = BrokerConnection {
                 endpoint,
                 broker: broker.clone(),
-                leaving: false,
+                retired: false,
                 stream,
                 stage: Stage::Opening,
-                began: now,
+                began_at: now,
                 frame_max: amqp::FRAME_MAX,
-                channel_max: MOST_CHANNELS,
+                channel_max: MAX_CHANNELS,
                 heartbeats: HeartbeatTimer::new(0, now),
                 channels: BTreeMap::new(),
                 closing: Vec::new(),
             };
-            self.links.insert(token, link);
+            self.connections.insert(token, connection);
         }
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else { return };
         let free =
-            link.channels.iter().find(|(_, channel)| channel.call.is_none()).map(|(&number, _)| number);
-        let unused = |number: &u16| !link.channels.contains_key(number) && !link.closing.contains(number);
-        let Some(number) = free.or_else(|| (1..=link.channel_max).find(unused)) else {
+            connection.channels.iter().find(|(_, channel)| channel.call.is_none()).map(|(&number, _)| number);
+        let unused =
+            |number: &u16| !connection.channels.contains_key(number) && !connection.closing.contains(number);
+        let Some(number) = free.or_else(|| (1..=connection.channel_max).find(unused)) else {
             return inputs.push(Input::ConnectionFailed(call));
         };
         let mut out = Vec::new();
-        if free.is_none() && matches!(link.stage, Stage::Open) {
+        if free.is_none() && matches!(connection.stage, Stage::Open) {
             open_channel(&mut out, number);
         }
-        let channel = link.channels.entry(number).or_default();
-        channel.call = Some(Out { call, waiting: Some(items), written: false, open: Vec::new() });
+        let channel = connection.channels.entry(number).or_default();
+        channel.call =
+            Some(ActiveCall { call, waiting: Some(items), written: false, unconfirmed: Vec::new() });
         if channel.open {
-            publish(&mut out, number, channel, broker, &self.directory, link.frame_max);
+            publish(&mut out, number, channel, broker, &self.directory, connection.frame_max);
         }
-        link.heartbeats.last_sent = now;
-        if link.stream.send(poll, &out).is_err() {
-            return self.lose(token, inputs);
+        connection.heartbeats.last_sent = now;
+        if connection.stream.send(poll, &out).is_err() {
+            return self.end_connection(token, inputs);
         }
         self.note_written(token, inputs);
     }
 
-    /// A publish may run once any of it may have left: calls share the connection, so what is still unsent
-    /// when it breaks does not tell whose it is.
+    /// Reports published calls as written. A publish may run once any byte of it may have been sent: calls
+    /// share the connection, so the bytes that are unsent when it breaks cannot be attributed to a call.
     fn note_written(&mut self, token: u64, inputs: &mut Vec<Input>) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        for out in link.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
-            if out.waiting.is_none() && !std::mem::replace(&mut out.written, true) {
-                inputs.push(Input::Written(out.call));
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        for active_call in connection.channels.values_mut().filter_map(|channel| channel.call.as_mut()) {
+            if active_call.waiting.is_none() && !std::mem::replace(&mut active_call.written, true) {
+                inputs.push(Input::Written(active_call.call));
             }
         }
     }
 
-    /// A connection is ready.
+    /// Handles a connection that is ready to read or write.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        let broke = link.stream.ready(poll).is_err();
-        // What has left has left, even if the connection broke right after.
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let broke = connection.stream.ready(poll).is_err();
+        // Bytes that were sent count as sent, even if the connection broke right after.
         self.note_written(token, inputs);
-        let Some(link) = self.links.get_mut(&token) else { return };
-        link.heartbeats.last_received = now;
-        let broker = &link.broker.clone();
-        let (mut out, mut at, mut over) = (Vec::new(), 0, broke || link.stream.ended);
-        let input = std::mem::take(&mut link.stream.input);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.heartbeats.last_received = now;
+        let broker = &connection.broker.clone();
+        let (mut out, mut at, mut ended) = (Vec::new(), 0, broke || connection.stream.ended);
+        let input = std::mem::take(&mut connection.stream.input);
         loop {
-            match amqp::read_frame(&input[at..], link.frame_max) {
+            match amqp::read_frame(&input[at..], connection.frame_max) {
                 Ok(Some((frame, used))) => {
                     at += used;
-                    match link.take(frame, broker, &self.directory, &mut out, inputs, now) {
+                    match connection.handle_frame(frame, broker, &self.directory, &mut out, inputs, now) {
                         Ok(true) => {}
-                        Ok(false) => over = true,
+                        Ok(false) => ended = true,
                         Err(problem) => {
-                            log!("broker {}: {} {}", broker.address, problem.0, problem.1);
+                            log!("broker {}: protocol error: {} {}", broker.address, problem.0, problem.1);
                             amqp::write_close(&mut out, 0, &problem, (0, 0));
-                            over = true;
+                            ended = true;
                         }
                     }
                 }
                 Ok(None) => break,
                 Err(problem) => {
-                    log!("broker {}: {} {}", broker.address, problem.0, problem.1);
-                    over = true;
+                    log!("broker {}: protocol error: {} {}", broker.address, problem.0, problem.1);
+                    ended = true;
                     break;
                 }
             }
         }
-        link.stream.input = input[at..].to_vec();
+        connection.stream.input = input[at..].to_vec();
         if !out.is_empty() {
-            link.heartbeats.last_sent = now;
-            over |= link.stream.send(poll, &out).is_err();
+            connection.heartbeats.last_sent = now;
+            ended |= connection.stream.send(poll, &out).is_err();
         }
         self.note_written(token, inputs);
-        if over {
-            self.lose(token, inputs);
+        if ended {
+            self.end_connection(token, inputs);
         }
     }
 
-    /// A connection is gone: what was published on it and not confirmed may have run.
-    fn lose(&mut self, token: u64, inputs: &mut Vec<Input>) {
-        let Some(link) = self.links.remove(&token) else { return };
+    /// Ends a connection. Messages published on it and not confirmed may have run.
+    fn end_connection(&mut self, token: u64, inputs: &mut Vec<Input>) {
+        let Some(connection) = self.connections.remove(&token) else { return };
         inputs.extend(
-            link.channels
+            connection
+                .channels
                 .into_values()
                 .filter_map(|channel| channel.call)
-                .map(|out| Input::ConnectionFailed(out.call)),
+                .map(|active_call| Input::ConnectionFailed(active_call.call)),
         );
     }
 
-    /// Gives up a call: its channel is closed, and a confirm that comes late meets nobody.
+    /// Cancels a call: its channel is closed, and a late confirm is ignored.
     pub fn abort(&mut self, poll: &Poll, call: CallId) {
-        for link in self.links.values_mut() {
-            let carries = |channel: &Channel| channel.call.as_ref().is_some_and(|out| out.call == call);
-            let Some(number) = link.channels.iter().find(|(_, c)| carries(c)).map(|(&number, _)| number)
+        for connection in self.connections.values_mut() {
+            let carries =
+                |channel: &Channel| channel.call.as_ref().is_some_and(|active_call| active_call.call == call);
+            let Some(number) =
+                connection.channels.iter().find(|(_, c)| carries(c)).map(|(&number, _)| number)
             else {
                 continue;
             };
-            link.channels.remove(&number);
+            connection.channels.remove(&number);
             let mut out = Vec::new();
-            if matches!(link.stage, Stage::Open) {
-                link.closing.push(number);
+            if matches!(connection.stage, Stage::Open) {
+                connection.closing.push(number);
                 amqp::write_close(&mut out, number, &amqp::Fault(200, "given up".into()), (0, 0));
             }
-            // A connection that breaks here shows when it is next ready.
-            let _ = link.stream.send(poll, &out);
+            // If the connection breaks here, `ready` finds it.
+            let _ = connection.stream.send(poll, &out);
         }
     }
 
-    /// Heartbeats; ends handshakes that take too long and connections gone silent.
+    /// Sends heartbeats; ends connections whose handshake takes too long or whose broker has gone silent.
     pub fn tick(&mut self, poll: &Poll, now: Micros, inputs: &mut Vec<Input>) {
-        let mut lost = Vec::new();
-        for (&token, link) in &mut self.links {
-            let opening = matches!(link.stage, Stage::Opening);
-            if link.leaving && link.channels.values().all(|channel| channel.call.is_none()) {
-                lost.push(token);
+        let mut ended = Vec::new();
+        for (&token, connection) in &mut self.connections {
+            let opening = matches!(connection.stage, Stage::Opening);
+            if connection.retired && connection.channels.values().all(|channel| channel.call.is_none()) {
+                ended.push(token);
                 continue;
             }
-            if opening && link.began.plus(self.dial_timeout) <= now || link.heartbeats.has_expired(now) {
-                lost.push(token);
-            } else if link.heartbeats.is_send_due(now) {
+            if opening && connection.began_at.plus(self.dial_timeout) <= now
+                || connection.heartbeats.has_expired(now)
+            {
+                ended.push(token);
+            } else if connection.heartbeats.is_send_due(now) {
                 let mut out = Vec::new();
                 amqp::write_heartbeat(&mut out);
-                link.heartbeats.last_sent = now;
-                if link.stream.send(poll, &out).is_err() {
-                    lost.push(token);
+                connection.heartbeats.last_sent = now;
+                if connection.stream.send(poll, &out).is_err() {
+                    ended.push(token);
                 }
             }
         }
-        lost.into_iter().for_each(|token| self.lose(token, inputs));
+        ended.into_iter().for_each(|token| self.end_connection(token, inputs));
     }
 
-    /// When [`Brokers::tick`] is due.
+    /// When [`BrokerConnections::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        let due = |link: &Link| match link.stage {
-            Stage::Opening => Some(link.began.plus(self.dial_timeout)),
-            Stage::Open => link.heartbeats.next_due(),
+        let due = |connection: &BrokerConnection| match connection.stage {
+            Stage::Opening => Some(connection.began_at.plus(self.dial_timeout)),
+            Stage::Open => connection.heartbeats.next_due(),
         };
-        self.links.values().filter_map(due).min()
+        self.connections.values().filter_map(due).min()
     }
 }
 
-impl Link {
-    /// One frame from the broker; false when the connection is over.
-    fn take(
+impl BrokerConnection {
+    /// Handles one frame from the broker; false if the connection is over.
+    fn handle_frame(
         &mut self,
         Frame { channel: number, content }: Frame,
         broker: &Broker,
@@ -287,7 +301,7 @@
             Content::Method(name, bytes) => (name, bytes),
             Content::Header(_, properties) => {
                 if let Some(channel) = self.channels.get_mut(&number) {
-                    channel.returned(&properties, inputs);
+                    channel.handle_returned(&properties, inputs);
                 }
                 return Ok(true);
             }
@@ -310,11 +324,12 @@
                 amqp::write_method(out, 0, method::START_OK, &reply);
             }
             method::TUNE => {
-                let told = (args.short()?, args.long()?, args.short()?);
-                let least = |told: u32, own: u32| if told == 0 { own } else { told.min(own) };
-                self.channel_max = least(told.0.into(), MOST_CHANNELS.into()) as u16;
-                self.frame_max = least(told.1, amqp::FRAME_MAX).max(4096);
-                let heartbeat = least(told.2.into(), HEARTBEAT.into()) as u16;
+                let proposed = (args.short()?, args.long()?, args.short()?);
+                let negotiated =
+                    |proposed: u32, own: u32| if proposed == 0 { own } else { proposed.min(own) };
+                self.channel_max = negotiated(proposed.0.into(), MAX_CHANNELS.into()) as u16;
+                self.frame_max = negotiated(proposed.1, amqp::FRAME_MAX).max(4096);
+                let heartbeat = negotiated(proposed.2.into(), HEARTBEAT_SECONDS.into()) as u16;
                 self.heartbeats = HeartbeatTimer::new(heartbeat, now);
                 let mut reply = Vec::new();
                 reply.put_short(self.channel_max);
@@ -352,7 +367,7 @@
                 log!("broker {}: closed a channel: {code} {text}", broker.address);
                 amqp::write_method(out, number, method::CHANNEL_CLOSE_OK, &[]);
                 let call = self.channels.remove(&number).and_then(|channel| channel.call);
-                inputs.extend(call.map(|out| Input::ConnectionFailed(out.call)));
+                inputs.extend(call.map(|active_call| Input::ConnectionFailed(active_call.call)));
             }
             method::CHANNEL_CLOSE_OK => self.closing.retain(|&closing| closing != number),
             method::CHANNEL_FLOW => amqp::write_method(out, number, method::CHANNEL_FLOW_OK, &[1]),
@@ -366,7 +381,7 @@
                 let outcome =
                     if name == method::ACK { AttemptOutcome::Delivered } else { AttemptOutcome::Error };
                 if let Some(channel) = self.channels.get_mut(&number) {
-                    channel.confirmed(tag, bits & 1 != 0, outcome, inputs);
+                    channel.handle_confirm(tag, bits & 1 != 0, outcome, inputs);
                 }
             }
             _ => {}
@@ -376,36 +391,38 @@
 }
 
 impl Channel {
-    fn confirmed(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
-        let Some(out) = &mut self.call else { return };
-        let named = |open: u64| open == tag || multiple && (open < tag || tag == 0);
-        let results: Vec<_> = out
-            .open
+    fn handle_confirm(&mut self, tag: u64, multiple: bool, outcome: AttemptOutcome, inputs: &mut Vec<Input>) {
+        let Some(active_call) = &mut self.call else { return };
+        let confirms = |open: u64| open == tag || multiple && (open < tag || tag == 0);
+        let results: Vec<_> = active_call
+            .unconfirmed
             .iter()
-            .filter(|(open, ..)| named(*open))
-            .map(|&(_, place, _)| (place, outcome, outcome == AttemptOutcome::Delivered))
+            .filter(|(open, ..)| confirms(*open))
+            .map(|&(_, index, _)| (index, outcome, outcome == AttemptOutcome::Delivered))
             .collect();
-        out.open.retain(|(open, ..)| !named(*open));
-        self.settled(results, inputs);
+        active_call.unconfirmed.retain(|(open, ..)| !confirms(*open));
+        self.report_results(results, inputs);
     }
 
-    /// The header of a content: if it is one that the broker could not route, that publish never ran.
-    fn returned(&mut self, properties: &Properties, inputs: &mut Vec<Input>) {
+    /// Handles a content header. If it belongs to a message that the broker returned as unroutable, that
+    /// publish never ran.
+    fn handle_returned(&mut self, properties: &Properties, inputs: &mut Vec<Input>) {
         if !std::mem::take(&mut self.returning) {
             return;
         }
-        let Some(out) = &mut self.call else { return };
-        let of = out.open.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
-        let Some((_, place, _)) = of.map(|index| out.open.remove(index)) else { return };
-        self.settled(vec![(place, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
+        let Some(active_call) = &mut self.call else { return };
+        let returned =
+            active_call.unconfirmed.iter().position(|(.., id)| properties.message_id.as_ref() == Some(id));
+        let Some((_, index, _)) = returned.map(|index| active_call.unconfirmed.remove(index)) else { return };
+        self.report_results(vec![(index, AttemptOutcome::Rejected { retry_after: None }, false)], inputs);
     }
 
-    fn settled(&mut self, results: Vec<(usize, AttemptOutcome, bool)>, inputs: &mut Vec<Input>) {
-        let Some(out) = &self.call else { return };
+    fn report_results(&mut self, results: Vec<(usize, AttemptOutcome, bool)>, inputs: &mut Vec<Input>) {
+        let Some(active_call) = &self.call else { return };
         if !results.is_empty() {
-            inputs.push(Input::Answered { call: out.call, results, wait: None });
+            inputs.push(Input::Answered { call: active_call.call, results, wait: None });
         }
-        if out.open.is_empty() {
+        if active_call.unconfirmed.is_empty() {
             self.call = None;
         }
     }
@@ -415,7 +432,7 @@
     amqp::write_method(out, number, method::CHANNEL_OPEN, &[0]);
 }
 
-/// Publishes what waits on a channel.
+/// Publishes the messages that wait on a channel.
 fn publish(
     out: &mut Vec<u8>,
     number: u16,
@@ -425,7 +442,7 @@
     frame_max: u32,
 ) {
     let Some(call) = &mut channel.call else { return };
-    for (place, item) in call.waiting.take().unwrap_or_default().into_iter().enumerate() {
+    for (index, item) in call.waiting.take().unwrap_or_default().into_iter().enumerate() {
         let mut args = vec![0, 0];
         args.put_short_string(broker.exchange.as_bytes());
         args.put_short_string(broker.routing_key.as_bytes());
@@ -440,7 +457,7 @@
             ..Properties::default()
         };
         amqp::write_content(out, number, &properties, &item.body, frame_max);
-        call.open.push((channel.next_tag, place, item.id));
+        call.unconfirmed.push((channel.next_tag, index, item.id));
         channel.next_tag += 1;
     }
 }
--- a/src/net/servers/http.rs
+++ b/src/net/servers/http.rs
@@ -1,7 +1,8 @@
-//! Calls over HTTP/1.1. Each connection carries one call at a time; nothing is ever sent again from here.
+//! Calls to endpoints over HTTP/1.1. Each connection carries one call at a time. This module never retries a
+//! call.
 
 use crate::engine::{CallId, Input, Item};
-use crate::net::http::{self, Answer, Headers, Parsed};
+use crate::net::http::{self, Headers, Parsed, Response};
 use crate::net::poll::{Peer, Poll};
 use crate::net::stream::{HandedStream, Stream};
 use crate::report::Report;
@@ -15,302 +16,318 @@
 struct Connection {
     endpoint: EndpointId,
     stream: Stream,
-    out: Option<Out>,
-    /// A whole answer has come on it.
+    active_call: Option<ActiveCall>,
+    /// A complete response has been received on this connection.
     answered: bool,
-    /// When it must be up, or was last used.
-    since: Micros,
-    spot: Spot,
+    /// When the latest call began or the connection was last used: the dial and idle time-outs start here.
+    last_used: Micros,
+    index_keys: IndexKeys,
 }
 
-/// Where a connection stands in the indexes.
+/// The keys under which the indexes hold a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Spot {
-    ends_at: Micros,
+struct IndexKeys {
+    deadline: Micros,
     idle_since: Option<Micros>,
 }
 
-/// The call that is out on a connection.
-struct Out {
+/// The call in progress on a connection.
+struct ActiveCall {
     call: CallId,
     ids: Vec<Rc<[u8]>>,
     batch: bool,
     written: bool,
-    /// Nothing of it is written from then on.
-    leaves_by: Micros,
-    /// Its outcome is told; the rest of the answer is still to come.
-    told: bool,
-    /// The wait and the limit report in the answer's head are told.
-    wait_told: bool,
-    report_told: bool,
-    /// Since the first byte of the answer.
+    /// If the connection is not established by then, nothing of the call is written.
+    send_deadline: Micros,
+    /// The outcome has been reported; the rest of the response is still to come.
+    outcome_reported: bool,
+    /// The wait and the load report in the response's headers have been reported.
+    wait_reported: bool,
+    load_reported: bool,
+    /// When the first byte of the response was received.
     answer_since: Option<Micros>,
 }
 
-impl Out {
-    fn new(call: CallId, ids: Vec<Rc<[u8]>>, batch: bool, leaves_by: Micros) -> Out {
-        Out {
+impl ActiveCall {
+    fn new(call: CallId, ids: Vec<Rc<[u8]>>, batch: bool, send_deadline: Micros) -> ActiveCall {
+        ActiveCall {
             call,
             ids,
             batch,
             written: false,
-            leaves_by,
-            told: false,
-            wait_told: false,
-            report_told: false,
+            send_deadline,
+            outcome_reported: false,
+            wait_reported: false,
+            load_reported: false,
             answer_since: None,
         }
     }
 
-    /// What the head of an answer tells of the endpoint's limit, once each. It holds from when its line has come: the call's
-    /// outcome may be told before it, or the answer may never come whole.
-    fn tell_limits(&mut self, endpoint: EndpointId, headers: &Headers, inputs: &mut Vec<Input>) {
-        if !self.report_told {
+    /// Reports the endpoint's limits from the response's headers, each once. A limit is reported as soon as
+    /// its header line is complete: the call's outcome may be reported earlier, or the response may never be
+    /// complete.
+    fn report_limits(&mut self, endpoint: EndpointId, headers: &Headers, inputs: &mut Vec<Input>) {
+        if !self.load_reported {
             let report = headers.get("Server-Load").and_then(Report::parse);
-            self.report_told = report.is_some();
+            self.load_reported = report.is_some();
             inputs.extend(report.map(|report| Input::Report(endpoint, report)));
         }
-        if !self.wait_told {
-            let wait = told_wait(headers);
-            self.wait_told = wait.is_some();
+        if !self.wait_reported {
+            let wait = wait_header(headers);
+            self.wait_reported = wait.is_some();
             inputs.extend(wait.map(|wait| Input::RetryAfter(endpoint, wait)));
         }
     }
 }
 
-/// How long nothing may be sent to the endpoint's destination.
-fn told_wait(headers: &Headers) -> Option<Micros> {
+/// How long nothing may be sent to the endpoint's destination, from the `X-RateLimit-Wait-Ms` header.
+fn wait_header(headers: &Headers) -> Option<Micros> {
     let wait = headers.get("X-RateLimit-Wait-Ms")?.trim().parse::<f64>().ok()?;
     Some(wait).filter(|&ms| ms > 0.0).map(Micros::from_ms)
 }
 
-/// A call to be made.
+/// A call to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Outgoing {
-    /// The call.
+    /// Identifies the call.
     pub call: CallId,
-    /// Where to.
+    /// The endpoint to call.
     pub endpoint: EndpointId,
-    /// How long it will be waited for.
+    /// How long the caller waits for the response; sent as `Request-Timeout`.
     pub wait: Micros,
-    /// Where its connection comes up only then or later, nothing of it is written.
-    pub leaves_by: Micros,
+    /// If the connection is not established by then, nothing of the call is written.
+    pub send_deadline: Micros,
 }
 
-/// A connection, for the process that follows.
+/// A connection as handed over to the successor process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HandedConnection {
     endpoint: EndpointId,
     stream: HandedStream,
-    out: Option<HandedOut>,
+    #[serde(rename = "out")]
+    active_call: Option<HandedOut>,
     answered: bool,
-    since: Micros,
+    #[serde(rename = "since")]
+    last_used: Micros,
 }
 
-/// The call that is out on it.
+/// The call in progress on a [`HandedConnection`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct HandedOut {
     call: CallId,
     ids: Vec<serde_bytes::ByteBuf>,
     batch: bool,
     written: bool,
-    /// Told by none that was handed over by a version before this.
-    #[serde(default)]
-    leaves_by: Option<Micros>,
-    told: bool,
-    /// A version that did not hand these over told them with the whole answer.
-    #[serde(default)]
-    wait_told: bool,
-    #[serde(default)]
-    report_told: bool,
+    /// Absent in a handover from an older version, which did not record it.
+    #[serde(default, rename = "leaves_by")]
+    send_deadline: Option<Micros>,
+    #[serde(rename = "told")]
+    outcome_reported: bool,
+    /// Absent in a handover from an older version, which reported the limits only with the complete response.
+    #[serde(default, rename = "wait_told")]
+    wait_reported: bool,
+    #[serde(default, rename = "report_told")]
+    load_reported: bool,
     answer_since: Option<Micros>,
 }
 
-/// An answer that has begun is whole by then, or spoilt: a head that never ends, or a length that promises more
-/// than comes, would else hold a slot and its flow to the end of the call's time.
-const ANSWER_TIME: Micros = Micros(500_000);
+/// Time from the first byte of a response to its end; a longer response is malformed. Without this limit,
+/// headers that never end or a `Content-Length` above what is sent would hold a slot and the message until
+/// the call's time-out.
+const MAX_ANSWER_TIME: Micros = Micros(500_000);
 
-/// Connections to real servers. Cost of a call, an answer or a time-out: some look-ups, however many are held.
-pub struct Servers {
+/// Connections to endpoints. A call, a response or a time-out costs a few look-ups, however many connections
+/// are open.
+pub struct EndpointConnections {
     addresses: BTreeMap<EndpointId, SocketAddr>,
     connections: BTreeMap<u64, Connection>,
-    /// When each is to be ended.
-    ends: BTreeSet<(Micros, u64)>,
-    /// Idle ones by when they were last used: all, and those of each endpoint.
+    /// Connections by the time at which they are closed.
+    deadlines: BTreeSet<(Micros, u64)>,
+    /// Idle connections by the time of last use: all, and those of each endpoint.
     idle: BTreeSet<(Micros, u64)>,
-    idle_at: BTreeMap<EndpointId, BTreeSet<(Micros, u64)>>,
+    idle_by_endpoint: BTreeMap<EndpointId, BTreeSet<(Micros, u64)>>,
     calls: HashMap<CallId, u64>,
     dial_timeout: Micros,
-    idle_time: Micros,
-    most: usize,
+    idle_timeout: Micros,
+    max_connections: usize,
 }
 
-impl Servers {
-    /// Connections not up within `dial_timeout` have failed; those idle for `idle_time` are closed. Where `most`
-    /// are held, an idle one gives way to a new one.
-    pub fn new(dial_timeout: Micros, idle_time: Micros, most: usize) -> Servers {
-        Servers {
+impl EndpointConnections {
+    /// A connection not established within `dial_timeout` has failed; one idle for `idle_timeout` is closed.
+    /// At `max_connections`, a new connection replaces the one that has been idle longest.
+    pub fn new(dial_timeout: Micros, idle_timeout: Micros, max_connections: usize) -> EndpointConnections {
+        EndpointConnections {
             addresses: BTreeMap::new(),
             connections: BTreeMap::new(),
-            ends: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             idle: BTreeSet::new(),
-            idle_at: BTreeMap::new(),
+            idle_by_endpoint: BTreeMap::new(),
             calls: HashMap::new(),
             dial_timeout,
-            idle_time,
-            most,
+            idle_timeout,
+            max_connections,
         }
     }
 
-    /// How many connections are held.
-    pub fn held(&self) -> usize {
+    /// Number of open connections.
+    pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Closes so many idle connections, those unused for longest first; tells how many there were.
-    pub fn close_some(&mut self, count: usize) -> usize {
+    /// Closes up to `count` idle connections, longest idle first; returns how many were closed.
+    pub fn close_longest_idle(&mut self, count: usize) -> usize {
         let oldest: Vec<u64> = self.idle.iter().take(count).map(|&(_, token)| token).collect();
         oldest.iter().for_each(|&token| drop(self.remove(token)));
         oldest.len()
     }
 
-    /// All connections, for the process that follows.
+    /// All connections, to hand over to the successor process.
     pub fn hand_over(&self) -> (Vec<HandedConnection>, Vec<BorrowedFd<'_>>) {
-        let out = |out: &Out| HandedOut {
-            call: out.call,
-            ids: out.ids.iter().map(|id| serde_bytes::ByteBuf::from(id.to_vec())).collect(),
-            batch: out.batch,
-            written: out.written,
-            leaves_by: Some(out.leaves_by),
-            told: out.told,
-            wait_told: out.wait_told,
-            report_told: out.report_told,
-            answer_since: out.answer_since,
+        let active_call = |active_call: &ActiveCall| HandedOut {
+            call: active_call.call,
+            ids: active_call.ids.iter().map(|id| serde_bytes::ByteBuf::from(id.to_vec())).collect(),
+            batch: active_call.batch,
+            written: active_call.written,
+            send_deadline: Some(active_call.send_deadline),
+            outcome_reported: active_call.outcome_reported,
+            wait_reported: active_call.wait_reported,
+            load_reported: active_call.load_reported,
+            answer_since: active_call.answer_since,
         };
-        let one = |one: &Connection| HandedConnection {
-            endpoint: one.endpoint,
-            stream: one.stream.hand_over().0,
-            out: one.out.as_ref().map(out),
-            answered: one.answered,
-            since: one.since,
+        let hand_over_connection = |connection: &Connection| HandedConnection {
+            endpoint: connection.endpoint,
+            stream: connection.stream.hand_over().0,
+            active_call: connection.active_call.as_ref().map(active_call),
+            answered: connection.answered,
+            last_used: connection.last_used,
         };
-        let sockets = self.connections.values().map(|one| one.stream.hand_over().1);
-        (self.connections.values().map(one).collect(), sockets.collect())
+        let sockets = self.connections.values().map(|connection| connection.stream.hand_over().1);
+        (self.connections.values().map(hand_over_connection).collect(), sockets.collect())
     }
 
-    /// Goes on with a connection that another process handed over. Tells the call that is out on it.
-    pub fn follow(&mut self, poll: &mut Poll, handed: HandedConnection, socket: OwnedFd) -> Option<CallId> {
-        let token = poll.token(Peer::Server);
-        let stream = Stream::follow(poll, token, handed.stream, socket).ok()?;
-        let out = handed.out.map(|out| Out {
-            call: out.call,
-            ids: out.ids.iter().map(|id| Rc::from(&id[..])).collect(),
-            batch: out.batch,
-            written: out.written,
-            leaves_by: out.leaves_by.unwrap_or(Micros(u64::MAX)),
-            told: out.told,
-            wait_told: out.wait_told,
-            report_told: out.report_told,
-            answer_since: out.answer_since,
+    /// Takes over a connection of the predecessor process; returns the call in progress on it.
+    pub fn take_over(
+        &mut self,
+        poll: &mut Poll,
+        handed: HandedConnection,
+        socket: OwnedFd,
+    ) -> Option<CallId> {
+        let token = poll.token(Peer::Endpoint);
+        let stream = Stream::take_over(poll, token, handed.stream, socket).ok()?;
+        let active_call = handed.active_call.map(|active_call| ActiveCall {
+            call: active_call.call,
+            ids: active_call.ids.iter().map(|id| Rc::from(&id[..])).collect(),
+            batch: active_call.batch,
+            written: active_call.written,
+            send_deadline: active_call.send_deadline.unwrap_or(Micros(u64::MAX)),
+            outcome_reported: active_call.outcome_reported,
+            wait_reported: active_call.wait_reported,
+            load_reported: active_call.load_reported,
+            answer_since: active_call.answer_since,
         });
-        let call = out.as_ref().filter(|out| !out.told).map(|out| out.call);
-        let spot = Spot { ends_at: Micros(u64::MAX), idle_since: None };
-        let (endpoint, answered, since) = (handed.endpoint, handed.answered, handed.since);
-        self.connections.insert(token, Connection { endpoint, stream, out, answered, since, spot });
+        let call = active_call
+            .as_ref()
+            .filter(|active_call| !active_call.outcome_reported)
+            .map(|active_call| active_call.call);
+        let index_keys = IndexKeys { deadline: Micros(u64::MAX), idle_since: None };
+        let (endpoint, answered, last_used) = (handed.endpoint, handed.answered, handed.last_used);
+        self.connections
+            .insert(token, Connection { endpoint, stream, active_call, answered, last_used, index_keys });
         self.calls.extend(call.map(|call| (call, token)));
-        self.place(token);
+        self.update_indexes(token);
         call
     }
 
-    /// Other limits count from now on; connections over them go as they fall idle.
-    pub fn configure(&mut self, dial_timeout: Micros, idle_time: Micros, most: usize) {
-        self.most = most;
-        if (self.dial_timeout, self.idle_time) == (dial_timeout, idle_time) {
+    /// Applies new limits. Connections above `max_connections` are closed as they become idle.
+    pub fn configure(&mut self, dial_timeout: Micros, idle_timeout: Micros, max_connections: usize) {
+        self.max_connections = max_connections;
+        if (self.dial_timeout, self.idle_timeout) == (dial_timeout, idle_timeout) {
             return;
         }
-        (self.dial_timeout, self.idle_time) = (dial_timeout, idle_time);
+        (self.dial_timeout, self.idle_timeout) = (dial_timeout, idle_timeout);
         let all: Vec<u64> = self.connections.keys().copied().collect();
-        all.into_iter().for_each(|token| self.place(token));
+        all.into_iter().for_each(|token| self.update_indexes(token));
     }
 
-    /// A connection may stand elsewhere now.
-    fn place(&mut self, token: u64) {
+    /// Updates the indexes after a change of the connection's state.
+    fn update_indexes(&mut self, token: u64) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let ends_at = ends_at(connection, self.dial_timeout, self.idle_time);
-        let idle_since = connection.out.is_none().then_some(connection.since);
-        let new = Spot { ends_at, idle_since };
-        if connection.spot == new {
+        let deadline = deadline(connection, self.dial_timeout, self.idle_timeout);
+        let idle_since = connection.active_call.is_none().then_some(connection.last_used);
+        let new = IndexKeys { deadline, idle_since };
+        if connection.index_keys == new {
             return;
         }
-        let (old, endpoint) = (std::mem::replace(&mut connection.spot, new), connection.endpoint);
-        self.leave(endpoint, token, old);
-        if new.ends_at < Micros(u64::MAX) {
-            self.ends.insert((new.ends_at, token));
+        let (old, endpoint) = (std::mem::replace(&mut connection.index_keys, new), connection.endpoint);
+        self.remove_from_indexes(endpoint, token, old);
+        if new.deadline < Micros(u64::MAX) {
+            self.deadlines.insert((new.deadline, token));
         }
         if let Some(since) = new.idle_since {
             self.idle.insert((since, token));
-            self.idle_at.entry(endpoint).or_default().insert((since, token));
+            self.idle_by_endpoint.entry(endpoint).or_default().insert((since, token));
         }
     }
 
-    fn leave(&mut self, endpoint: EndpointId, token: u64, spot: Spot) {
-        self.ends.remove(&(spot.ends_at, token));
-        let Some(since) = spot.idle_since else { return };
+    fn remove_from_indexes(&mut self, endpoint: EndpointId, token: u64, index_keys: IndexKeys) {
+        self.deadlines.remove(&(index_keys.deadline, token));
+        let Some(since) = index_keys.idle_since else { return };
         self.idle.remove(&(since, token));
-        if let Some(idle) = self.idle_at.get_mut(&endpoint) {
+        if let Some(idle) = self.idle_by_endpoint.get_mut(&endpoint) {
             idle.remove(&(since, token));
             if idle.is_empty() {
-                self.idle_at.remove(&endpoint);
+                self.idle_by_endpoint.remove(&endpoint);
             }
         }
     }
 
-    /// Ends a connection.
+    /// Closes a connection.
     fn remove(&mut self, token: u64) -> Option<Connection> {
         let connection = self.connections.remove(&token)?;
-        self.leave(connection.endpoint, token, connection.spot);
+        self.remove_from_indexes(connection.endpoint, token, connection.index_keys);
         Some(connection)
     }
 
-    /// Where a real server listens.
-    pub fn learn(&mut self, endpoint: EndpointId, address: SocketAddr) {
+    /// Sets the address of an endpoint; idle connections to a previous address are closed.
+    pub fn set_address(&mut self, endpoint: EndpointId, address: SocketAddr) {
         if self.addresses.insert(endpoint, address).is_some_and(|known| known != address) {
             self.close_idle(endpoint);
         }
     }
 
-    /// Lets go of the endpoints that are not to be kept: no call begins there any more; those that are out go on.
-    /// On a day on which each is replaced by a new one, else all of them would be remembered. Cost: the endpoints.
+    /// Forgets the endpoints for which `keep` is false: no new call begins there; calls in progress continue.
+    /// Without this, a day on which every endpoint is replaced would leave all old ones in memory. Cost:
+    /// linear in the endpoints.
     pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
         let gone: Vec<EndpointId> =
             self.addresses.keys().copied().filter(|&endpoint| !keep(endpoint)).collect();
         gone.into_iter().for_each(|endpoint| self.forget(endpoint));
     }
 
-    /// Lets go of one endpoint. Cost: its idle connections.
+    /// Forgets one endpoint. Cost: linear in its idle connections.
     pub fn forget(&mut self, endpoint: EndpointId) {
         self.addresses.remove(&endpoint);
         self.close_idle(endpoint);
     }
 
-    /// The idle connection to an endpoint that was used last. One on which bytes wait that nobody asked for, or
-    /// that has ended, goes: the next call would take them for its own answer.
+    /// The most recently used idle connection to an endpoint. A connection that the peer has closed, or that
+    /// has unsolicited bytes waiting, is closed: the next call would read those bytes as its own response.
     fn reusable(&mut self, endpoint: EndpointId) -> Option<u64> {
         loop {
-            let &(_, token) = self.idle_at.get(&endpoint)?.last()?;
-            if self.connections.get(&token)?.stream.quiet() {
+            let &(_, token) = self.idle_by_endpoint.get(&endpoint)?.last()?;
+            if self.connections.get(&token)?.stream.is_reusable() {
                 return Some(token);
             }
             self.remove(token);
         }
     }
 
-    /// Starts a call, on the connection used last or on a new one.
+    /// Starts a call on the most recently used idle connection, or on a new one.
     pub fn call(
         &mut self,
         poll: &mut Poll,
         now: Micros,
-        Outgoing { call, endpoint, wait, leaves_by }: Outgoing,
+        Outgoing { call, endpoint, wait, send_deadline }: Outgoing,
         items: &[Item],
         inputs: &mut Vec<Input>,
     ) {
@@ -318,21 +335,22 @@
         let Some(&address) = self.addresses.get(&endpoint) else {
             return inputs.push(Input::ConnectionFailed(call));
         };
-        let token = newest.unwrap_or_else(|| poll.token(Peer::Server));
+        let token = newest.unwrap_or_else(|| poll.token(Peer::Endpoint));
         if newest.is_none() {
-            if self.connections.len() >= self.most {
+            if self.connections.len() >= self.max_connections {
                 let oldest = self.idle.first().map(|&(_, token)| token);
                 oldest.map(|token| self.remove(token));
             }
             match Stream::connect(poll, token, address) {
                 Ok(stream) => {
-                    let spot = Spot { ends_at: Micros(u64::MAX), idle_since: None };
-                    let (out, answered) = (None, false);
-                    let connection = Connection { endpoint, stream, out, answered, since: now, spot };
+                    let index_keys = IndexKeys { deadline: Micros(u64::MAX), idle_since: None };
+                    let (active_call, answered) = (None, false);
+                    let connection =
+                        Connection { endpoint, stream, active_call, answered, last_used: now, index_keys };
                     self.connections.insert(token, connection);
                 }
                 Err(problem) => {
-                    log!("servers: no connection to {address}: {problem}");
+                    log!("endpoints: cannot connect to {address}: {problem}");
                     return inputs.push(Input::ConnectionFailed(call));
                 }
             }
@@ -340,53 +358,63 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let batch = items.len() > 1;
         let ids = items.iter().map(|item| item.id.clone()).collect();
-        connection.out = Some(Out::new(call, ids, batch, leaves_by));
-        connection.since = now;
+        connection.active_call = Some(ActiveCall::new(call, ids, batch, send_deadline));
+        connection.last_used = now;
         self.calls.insert(call, token);
-        let request = if batch { several(address, wait, items) } else { single(address, wait, &items[0]) };
+        let request = if batch {
+            batch_request(address, wait, items)
+        } else {
+            single_request(address, wait, &items[0])
+        };
         if connection.stream.send(poll, &request).is_err() {
-            return self.broke(token, inputs);
+            return self.end_broken(token, inputs);
         }
-        self.place(token);
+        self.update_indexes(token);
         self.note_written(token, inputs);
     }
 
-    /// The last byte may have been written just now.
+    /// Reports the call as written once its last byte has been written.
     fn note_written(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let flushed = connection.stream.connected() && connection.stream.flushed();
-        if let Some(out) = connection.out.as_mut().filter(|out| flushed && !out.written) {
-            out.written = true;
-            inputs.push(Input::Written(out.call));
+        if let Some(active_call) =
+            connection.active_call.as_mut().filter(|active_call| flushed && !active_call.written)
+        {
+            active_call.written = true;
+            inputs.push(Input::Written(active_call.call));
         }
     }
 
-    /// A connection is ready.
+    /// Handles a connection that is ready to read or write.
     pub fn ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
-        self.heard(poll, token, now, inputs);
-        // What was learned may end it sooner or later, or leave it idle; to an endpoint that is gone none stays so.
-        let idle = self.connections.get(&token).filter(|connection| connection.out.is_none());
+        self.process_ready(poll, token, now, inputs);
+        // The call's progress may have changed the connection's deadline or left it idle; an idle connection
+        // to an endpoint that is gone is closed.
+        let idle = self.connections.get(&token).filter(|connection| connection.active_call.is_none());
         if idle.is_some_and(|connection| !self.addresses.contains_key(&connection.endpoint)) {
             self.remove(token);
         }
-        self.place(token);
+        self.update_indexes(token);
     }
 
-    fn heard(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
+    fn process_ready(&mut self, poll: &Poll, token: u64, now: Micros, inputs: &mut Vec<Input>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let late = |out: &Out| out.leaves_by <= now && !connection.stream.connected();
-        if connection.out.as_ref().is_some_and(late) {
-            // It came up, or failed, too late: the core calls the call back in this turn.
+        let late =
+            |active_call: &ActiveCall| active_call.send_deadline <= now && !connection.stream.connected();
+        if connection.active_call.as_ref().is_some_and(late) {
+            // The connection was established, or failed, after the send deadline: the engine cancels the call
+            // in this loop iteration.
             self.remove(token);
             return;
         }
         let broke = connection.stream.ready(poll).is_err();
-        // Also where it broke: the last byte may have left just before, and then the call may have run.
+        // Also on a broken connection: the last byte may have been sent just before, and then the call may
+        // have run.
         self.note_written(token, inputs);
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let ended = broke || connection.stream.ended;
-        let Some(out) = &mut connection.out else {
-            // Closed by the other side while idle, or bytes that nobody asked for.
+        let Some(active_call) = &mut connection.active_call else {
+            // The peer closed an idle connection or sent unsolicited bytes.
             if ended || !connection.stream.input.is_empty() {
                 self.remove(token);
             }
@@ -394,64 +422,70 @@
         };
         let endpoint = connection.endpoint;
         let input = &connection.stream.input;
-        // One that is as long as its connection is whole where the other side ended that, and not where it was reset.
-        match http::answer(input, ended && !broke, http::LONGEST_ANSWER) {
-            Parsed::Whole(answer, used) => {
-                out.tell_limits(endpoint, &answer.headers, inputs);
-                if !out.told {
-                    inputs.push(outcome(out, &answer, !connection.answered));
-                    self.calls.remove(&out.call);
+        // A response without a length is complete when the peer closes the connection, but not when it resets
+        // it.
+        match http::parse_response(input, ended && !broke, http::MAX_RESPONSE_BYTES) {
+            Parsed::Complete(answer, used) => {
+                active_call.report_limits(endpoint, &answer.headers, inputs);
+                if !active_call.outcome_reported {
+                    inputs.push(outcome(active_call, &answer, !connection.answered));
+                    self.calls.remove(&active_call.call);
                 }
                 connection.stream.input.drain(..used);
-                connection.out = None;
+                connection.active_call = None;
                 connection.answered = true;
-                connection.since = now;
-                // An answer before the last byte of the call: what follows on this connection is unclear.
+                connection.last_used = now;
+                // After a response that precedes the call's last byte, the state of the connection is
+                // unclear.
                 let unclear = !connection.stream.flushed() || !connection.stream.input.is_empty();
                 if ended || answer.close || unclear {
                     self.remove(token);
                 }
             }
-            partial_or_bad => {
+            partial_or_invalid => {
                 if !input.is_empty() {
-                    out.answer_since.get_or_insert(now);
-                    out.tell_limits(endpoint, &http::headers_so_far(input), inputs);
+                    active_call.answer_since.get_or_insert(now);
+                    active_call.report_limits(endpoint, &http::complete_headers(input), inputs);
                 }
-                // Delivered with the first line, where the call carried one flow.
-                if !out.told && !out.batch && http::first_line(input) == Some(200) {
-                    out.told = true;
-                    self.calls.remove(&out.call);
+                // A call that carries a single message is delivered once the status line reads 200.
+                if !active_call.outcome_reported
+                    && !active_call.batch
+                    && http::response_status(input) == Some(200)
+                {
+                    active_call.outcome_reported = true;
+                    self.calls.remove(&active_call.call);
                     let results = vec![(0, AttemptOutcome::Delivered, true)];
-                    inputs.push(Input::Answered { call: out.call, results, wait: None });
+                    inputs.push(Input::Answered { call: active_call.call, results, wait: None });
                 }
-                match partial_or_bad {
-                    _ if broke => self.broke(token, inputs),
-                    Parsed::Bad(_) if ended => self.broke(token, inputs),
-                    Parsed::Bad(_) => self.spoilt(token, inputs),
+                match partial_or_invalid {
+                    _ if broke => self.end_broken(token, inputs),
+                    Parsed::Invalid(_) if ended => self.end_broken(token, inputs),
+                    Parsed::Invalid(_) => self.end_malformed(token, inputs),
                     _ => {}
                 }
             }
         }
     }
 
-    /// The answer on a connection cannot be read: what else would come on it cannot either.
-    fn spoilt(&mut self, token: u64, inputs: &mut Vec<Input>) {
-        let out = self.remove(token).and_then(|connection| connection.out);
-        if let Some(out) = out.filter(|out| !out.told) {
-            self.calls.remove(&out.call);
-            inputs.push(Input::MalformedAnswer(out.call));
+    /// Ends a connection whose response is malformed: nothing after it can be read either.
+    fn end_malformed(&mut self, token: u64, inputs: &mut Vec<Input>) {
+        let active_call = self.remove(token).and_then(|connection| connection.active_call);
+        if let Some(active_call) = active_call.filter(|active_call| !active_call.outcome_reported) {
+            self.calls.remove(&active_call.call);
+            inputs.push(Input::MalformedAnswer(active_call.call));
         }
     }
 
-    fn broke(&mut self, token: u64, inputs: &mut Vec<Input>) {
+    fn end_broken(&mut self, token: u64, inputs: &mut Vec<Input>) {
         let Some(connection) = self.remove(token) else { return };
-        if let Some(out) = connection.out.filter(|out| !out.told) {
-            self.calls.remove(&out.call);
-            inputs.push(Input::ConnectionFailed(out.call));
+        if let Some(active_call) = connection.active_call.filter(|active_call| !active_call.outcome_reported)
+        {
+            self.calls.remove(&active_call.call);
+            inputs.push(Input::ConnectionFailed(active_call.call));
         }
     }
 
-    /// Gives up a call: its connection is closed at once.
+    /// Cancels a call by closing its connection at once.
     pub fn abort(&mut self, call: CallId) {
         if let Some(token) = self.calls.remove(&call) {
             self.remove(token);
@@ -460,34 +494,38 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&mut self, endpoint: EndpointId) {
-        for (_, token) in self.idle_at.get(&endpoint).cloned().unwrap_or_default() {
+        for (_, token) in self.idle_by_endpoint.get(&endpoint).cloned().unwrap_or_default() {
             self.remove(token);
         }
     }
 
-    /// Ends connections that do not come up, those idle for long, and those whose answer does not end.
+    /// Closes connections that are not established in time, idle for too long, or whose response takes too
+    /// long.
     pub fn tick(&mut self, now: Micros, inputs: &mut Vec<Input>) {
-        while let Some(&(_, token)) = self.ends.first().filter(|(at, _)| *at <= now) {
-            let out = self.connections.get(&token).and_then(|connection| connection.out.as_ref());
-            if out.is_some_and(|out| out.answer_since.is_some()) {
-                self.spoilt(token, inputs);
+        while let Some(&(_, token)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
+            let active_call =
+                self.connections.get(&token).and_then(|connection| connection.active_call.as_ref());
+            if active_call.is_some_and(|active_call| active_call.answer_since.is_some()) {
+                self.end_malformed(token, inputs);
             } else {
-                self.broke(token, inputs);
+                self.end_broken(token, inputs);
             }
         }
     }
 
-    /// When [`Servers::tick`] is due.
+    /// When [`EndpointConnections::tick`] is due.
     pub fn due(&self) -> Option<Micros> {
-        self.ends.first().map(|&(at, _)| at)
+        self.deadlines.first().map(|&(at, _)| at)
     }
 }
 
-fn ends_at(connection: &Connection, dial: Micros, idle: Micros) -> Micros {
-    match (&connection.out, connection.stream.connected()) {
-        (None, _) => connection.since.plus(idle),
-        (Some(_), false) => connection.since.plus(dial),
-        (Some(out), true) => out.answer_since.map_or(Micros(u64::MAX), |since| since.plus(ANSWER_TIME)),
+fn deadline(connection: &Connection, dial: Micros, idle: Micros) -> Micros {
+    match (&connection.active_call, connection.stream.connected()) {
+        (None, _) => connection.last_used.plus(idle),
+        (Some(_), false) => connection.last_used.plus(dial),
+        (Some(active_call), true) => {
+            active_call.answer_since.map_or(Micros(u64::MAX), |since| since.plus(MAX_ANSWER_TIME))
+        }
     }
 }
 
@@ -495,7 +533,7 @@
     format!("Request-Timeout: {:.3}\r\n", wait.0 as f64 / 1e6)
 }
 
-fn single(address: SocketAddr, wait: Micros, item: &Item) -> Vec<u8> {
+fn single_request(address: SocketAddr, wait: Micros, item: &Item) -> Vec<u8> {
     let mut headers = format!("Request-Id: {}\r\n", String::from_utf8_lossy(&item.id));
     if let Some(key) = &item.key {
         headers.push_str(&format!("Idempotency-Key: {}\r\n", String::from_utf8_lossy(key)));
@@ -504,7 +542,7 @@
     http::write_request("POST", "/v1/messages", &address.to_string(), &headers, &item.body)
 }
 
-fn several(address: SocketAddr, wait: Micros, items: &[Item]) -> Vec<u8> {
+fn batch_request(address: SocketAddr, wait: Micros, items: &[Item]) -> Vec<u8> {
     let mut body = Vec::new();
     for item in items {
         body.extend(&item.id[..]);
@@ -518,17 +556,23 @@
     http::write_request("POST", "/v1/messages:batch", &address.to_string(), &headers, &body)
 }
 
-/// What an answer says of each flow in the call. A new connection that is turned away and closed, and told no wait, found
-/// the endpoint's connections all taken: on one that is kept, the same word would have been about the call.
-fn outcome(out: &Out, answer: &Answer, new: bool) -> Input {
-    let wait = told_wait(&answer.headers);
+/// The attempt outcome of each message in the call. A new connection that is answered with 503 and closed,
+/// without a wait, means that the endpoint's connection limit is reached. On a reused connection the same
+/// response rejects the call.
+fn outcome(active_call: &ActiveCall, answer: &Response, new: bool) -> Input {
+    let wait = wait_header(&answer.headers);
     let slots_taken = answer.headers.get("X-Over-Slots").is_some_and(|value| value.trim() == "1");
-    let each = |outcome, over| (0..out.ids.len()).map(|place| (place, outcome, over)).collect();
+    let each = |outcome, over| (0..active_call.ids.len()).map(|index| (index, outcome, over)).collect();
     let results: Vec<(usize, AttemptOutcome, bool)> = match answer.status {
-        200 if out.batch => {
-            let mut results: Vec<_> =
-                out.ids.iter().enumerate().map(|(place, id)| line(place, id, answer, wait)).collect();
-            // The module takes the last word for the call's: a refusal says more than a delivery.
+        200 if active_call.batch => {
+            let mut results: Vec<_> = active_call
+                .ids
+                .iter()
+                .enumerate()
+                .map(|(index, id)| batch_result(index, id, answer, wait))
+                .collect();
+            // The engine takes the last result as that of the call: a rejection carries more information than
+            // a delivery.
             results.sort_by_key(|result| u8::from(result.1 != AttemptOutcome::Delivered));
             results
         }
@@ -540,24 +584,29 @@
         410 => each(AttemptOutcome::NotSent, true),
         status => {
             if status != 500 {
-                log!("servers: answer {status} to a call of {}", out.ids.len());
+                log!("endpoints: unexpected status {status} for a call of size {}", active_call.ids.len());
             }
             each(AttemptOutcome::Error, false)
         }
     };
-    Input::Answered { call: out.call, results, wait }
+    Input::Answered { call: active_call.call, results, wait }
 }
 
-/// What the answer to a call of several says of one; silence may mean that it has run.
-fn line(place: usize, id: &[u8], answer: &Answer, wait: Option<Micros>) -> (usize, AttemptOutcome, bool) {
+/// The result for one message of a batch. A message without a line in the response may have run.
+fn batch_result(
+    index: usize,
+    id: &[u8],
+    answer: &Response,
+    wait: Option<Micros>,
+) -> (usize, AttemptOutcome, bool) {
     let lines = answer.body.split(|&byte| byte == b'\n').map(<[u8]>::trim_ascii);
-    let mut ends = lines.filter_map(|line| line.strip_prefix(id)?.strip_prefix(b" "));
-    match ends.next() {
-        Some(b"delivered") => (place, AttemptOutcome::Delivered, true),
-        Some(b"refused") => (place, AttemptOutcome::Rejected { retry_after: wait }, false),
-        Some(b"over") => (place, AttemptOutcome::NotSent, true),
-        Some(b"spent") => (place, AttemptOutcome::NotSent, false),
-        _ => (place, AttemptOutcome::Error, false),
+    let mut results = lines.filter_map(|line| line.strip_prefix(id)?.strip_prefix(b" "));
+    match results.next() {
+        Some(b"delivered") => (index, AttemptOutcome::Delivered, true),
+        Some(b"refused") => (index, AttemptOutcome::Rejected { retry_after: wait }, false),
+        Some(b"over") => (index, AttemptOutcome::NotSent, true),
+        Some(b"spent") => (index, AttemptOutcome::NotSent, false),
+        _ => (index, AttemptOutcome::Error, false),
     }
 }
 
