--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -71,7 +71,7 @@
         let mut untried = Vec::new();
         for number in 0..42 {
             let id = format!("old{number}");
-            let outputs = engine.step(ms(1), [offer(&id, KEYED, 3)]);
+            let outputs = engine.step(ms(1), [submission(&id, KEYED, 3)]);
             assert_eq!(reply_in(&outputs), Some(Reply::Accepted));
             if carried(&outputs).is_empty() {
                 untried.push(id);
@@ -122,7 +122,7 @@
     let mut start = Recovered::start("admission-restart");
     for number in 0..400 {
         // Steps of 20 ms, of which the first bring as many submissions as there are places; each call is answered in a later one.
-        let new = (number < 60).then(|| offer(&format!("new{number}"), SAFE, 3));
+        let new = (number < 60).then(|| submission(&format!("new{number}"), SAFE, 3));
         let ended = start.step(500 + 20 * number, new, true);
         assert_eq!(ended, [""; 0], "given up in step {number}");
     }
@@ -137,7 +137,7 @@
     for number in 0..500 {
         // For all of the time that the recovered have left, five times as many are handed in as are answered; these alone would
         // be through in less than half of it.
-        let new = Some(offer(&format!("new{number}"), SAFE, 3));
+        let new = Some(submission(&format!("new{number}"), SAFE, 3));
         ended.extend(start.step(500 + 20 * number, new, number % 5 == 0));
     }
     assert!(start.rejected > 0, "the places never ran short");
--- a/tests/common/core.rs
+++ b/tests/common/core.rs
@@ -1,4 +1,4 @@
-//! A core in a folder of its own, without any wire.
+//! An engine with a state folder of its own and without any network protocol.
 
 use super::{member, ms, settings, HOME};
 use cedarwharf::config::model::Core;
@@ -28,7 +28,7 @@
 
 /// Settings with a name for each class and tenant: `c0`, `c1`, ..., `t0`, ...
 pub fn core(settings: Settings) -> Core {
-    let names = |letter: &str, count: usize| (0..count).map(|place| format!("{letter}{place}")).collect();
+    let names = |letter: &str, count: usize| (0..count).map(|index| format!("{letter}{index}")).collect();
     let (classes, tenants) = (names("c", settings.classes.len()), names("t", settings.tenants.len()));
     Core { settings, classes, tenants, held_bytes: None }
 }
@@ -41,7 +41,7 @@
     start_with(&core(settings()), folder, disk, now)
 }
 
-pub fn offer(id: &str, class: usize, body: usize) -> Input {
+pub fn submission(id: &str, class: usize, body: usize) -> Input {
     Input::Submission(MessageSubmission {
         token: 1,
         front: 0,
@@ -67,7 +67,7 @@
     outputs.iter().find_map(|out| if let Output::Reply(_, _, reply) = out { Some(*reply) } else { None })
 }
 
-pub fn end_in(outputs: &[Output]) -> Option<FinalOutcome> {
+pub fn outcome_in(outputs: &[Output]) -> Option<FinalOutcome> {
     outputs.iter().find_map(|out| {
         if let Output::ReportOutcome { outcome, .. } = out {
             Some(*outcome)
--- a/tests/tenancy.rs
+++ b/tests/tenancy.rs
@@ -6,7 +6,7 @@
 use cedarwharf::tenancy::rate::Rate;
 use cedarwharf::tenancy::{Isolation, ShareLimits};
 use cedarwharf::*;
-use common::core::{core, offer, reply_in, start_with, Folder};
+use common::core::{core, reply_in, start_with, submission, Folder};
 use common::{member, ms, settings, HOME, SAFE, UNSAFE};
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
 }
 
 fn offer_of(tenant: usize, destination: DestinationId, class: usize, id: &str) -> Input {
-    let Input::Submission(one) = offer(id, class, 10) else { unreachable!() };
+    let Input::Submission(one) = submission(id, class, 10) else { unreachable!() };
     Input::Submission(MessageSubmission { tenant, destination, time_left: ms(60_000), ..one })
 }
 
