--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -13,10 +13,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Messages of each loop iteration that were ended, with whether they were submitted in that iteration.
-fn ended_early(sender: &mut Sender, id: u32, class: usize, tenant: usize) -> Vec<u32> {
+fn ended_early(forwarder: &mut TestForwarder, id: u32, class: usize, tenant: usize) -> Vec<u32> {
     let message =
         Submission { destination: HOME, time_left: ms(12_000), class, key: None, tenant, resubmitted: false };
-    let actions = sender.hear(Event::Message(MessageId(id), message));
+    let actions = forwarder.handle(Event::Message(MessageId(id), message));
     let ended = actions.iter().filter_map(|action| match action {
         Action::Reject { id, .. } | Action::Fail(id) => Some(id.0),
         _ => None,
@@ -25,11 +25,11 @@
 }
 
 /// A destination told to wait, so that all that is accepted is held.
-fn holding(settings: Settings) -> Sender {
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0)]);
-    sender.message(0, SAFE, None);
-    sender.settle(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
-    sender
+fn holding(settings: Settings) -> TestForwarder {
+    let mut forwarder = TestForwarder::new(settings, vec![endpoint_record(1, HOME, 10.0)]);
+    forwarder.submit(0, SAFE, None);
+    forwarder.end_attempt(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
+    forwarder
 }
 
 #[test]
@@ -37,13 +37,13 @@
     let mut settings = settings();
     settings.classes[KEYED].worth = 4.0;
     (settings.tenants, settings.forwarders) = (vec![0.5, 0.5], 1);
-    let mut sender = holding(settings);
+    let mut forwarder = holding(settings);
     let mut rejected = BTreeMap::new();
     for id in 1..200u32 {
         let class = if id < 60 { SAFE } else { KEYED };
-        let others = ended_early(&mut sender, id, class, usize::from(id % 6 == 0));
+        let others = ended_early(&mut forwarder, id, class, usize::from(id % 6 == 0));
         assert_eq!(others, [0u32; 0], "ended to make room for {id}");
-        *rejected.entry(class).or_insert(0) += i32::from(refused(&sender.said, id));
+        *rejected.entry(class).or_insert(0) += i32::from(is_rejected(&forwarder.actions, id));
     }
     // Of 60 places 0.7 and a quarter of the rest are for a class of a quarter of the worth; the others are left to the greater.
     assert!(rejected[&SAFE] >= 13, "places are kept for what is worth more: {rejected:?}");
--- a/tests/common/core.rs
+++ b/tests/common/core.rs
@@ -1,6 +1,6 @@
 //! An engine with a state folder of its own and without any network protocol.
 
-use super::{member, ms, settings, HOME};
+use super::{endpoint_record, ms, settings, HOME};
 use cedarwharf::config::model::Core;
 use cedarwharf::engine::{Engine, Input, MessageSubmission, Output, Reply, Resume};
 use cedarwharf::journal::{FinalOutcome, IdScope};
@@ -34,7 +34,7 @@
 }
 
 pub fn start_with(core: &Core, folder: &Folder, disk: u64, now: u64) -> Engine {
-    Engine::start(core, 5, (&folder.0, disk), ms(now), vec![member(1, HOME, 10.0)], Resume::AtOnce)
+    Engine::start(core, 5, (&folder.0, disk), ms(now), vec![endpoint_record(1, HOME, 10.0)], Resume::AtOnce)
 }
 
 pub fn start(folder: &Folder, disk: u64, now: u64) -> Engine {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a small hand-driven sender for the module's tests.
+//! Settings, and a small forwarder driven by hand, for the tests of the dispatcher.
 #![allow(dead_code)]
 
 pub mod core;
@@ -60,7 +60,7 @@
     }
 }
 
-pub fn member(endpoint: u64, destination: DestinationId, weight: f64) -> EndpointRecord {
+pub fn endpoint_record(endpoint: u64, destination: DestinationId, weight: f64) -> EndpointRecord {
     EndpointRecord {
         endpoint: EndpointId(endpoint),
         destination,
@@ -71,66 +71,66 @@
     }
 }
 
-pub fn handed_in(id: u32, to: DestinationId, time_left: Micros, class: usize, key: Option<u64>) -> Event {
+pub fn message_event(id: u32, to: DestinationId, time_left: Micros, class: usize, key: Option<u64>) -> Event {
     let message = Submission { destination: to, time_left, class, key, tenant: 0, resubmitted: false };
     Event::Message(MessageId(id), message)
 }
 
-/// A sender, its clock, and what it said last.
-pub struct Sender {
+/// A dispatcher, its clock, and the actions of its last call.
+pub struct TestForwarder {
     pub dispatcher: Dispatcher,
     pub now: Micros,
-    pub said: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Sender {
-    pub fn new(settings: Settings, members: Vec<EndpointRecord>) -> Self {
-        let mut sender =
-            Sender { dispatcher: Dispatcher::new(settings, 11), now: ms(1_000), said: Vec::new() };
-        sender.hear(Event::EndpointRecords(ListScope::Cached, members));
-        sender
+impl TestForwarder {
+    pub fn new(settings: Settings, records: Vec<EndpointRecord>) -> Self {
+        let mut forwarder =
+            TestForwarder { dispatcher: Dispatcher::new(settings, 11), now: ms(1_000), actions: Vec::new() };
+        forwarder.handle(Event::EndpointRecords(ListScope::Cached, records));
+        forwarder
     }
 
-    /// One endpoint, 1, of one destination that takes ten calls a second.
-    pub fn simple() -> Self {
-        Sender::new(settings(), vec![member(1, HOME, 10.0)])
+    /// Endpoint 1 of one destination, which accepts ten calls a second.
+    pub fn with_one_endpoint() -> Self {
+        TestForwarder::new(settings(), vec![endpoint_record(1, HOME, 10.0)])
     }
 
-    pub fn hear(&mut self, event: Event) -> Vec<Action> {
-        self.said.clear();
-        self.dispatcher.handle(self.now, [event], &mut self.said);
-        self.said.clone()
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.actions.clear();
+        self.dispatcher.handle(self.now, [event], &mut self.actions);
+        self.actions.clone()
     }
 
-    pub fn wait(&mut self, millis: u64) -> Vec<Action> {
-        let mut all = Vec::new();
+    pub fn advance(&mut self, millis: u64) -> Vec<Action> {
+        let mut actions = Vec::new();
         for _ in 0..millis.div_ceil(10) {
             self.now = self.now.plus(ms(10));
-            all.extend(self.hear(Event::Wake));
+            actions.extend(self.handle(Event::Wake));
         }
-        all
+        actions
     }
 
-    pub fn message(&mut self, id: u32, class: usize, key: Option<u64>) -> Vec<Action> {
-        self.message_for(id, class, key, HOME)
+    pub fn submit(&mut self, id: u32, class: usize, key: Option<u64>) -> Vec<Action> {
+        self.submit_to(id, class, key, HOME)
     }
 
-    pub fn message_for(&mut self, id: u32, class: usize, key: Option<u64>, to: DestinationId) -> Vec<Action> {
-        self.hear(handed_in(id, to, ms(12_000), class, key))
+    pub fn submit_to(&mut self, id: u32, class: usize, key: Option<u64>, to: DestinationId) -> Vec<Action> {
+        self.handle(message_event(id, to, ms(12_000), class, key))
     }
 
-    pub fn settle(&mut self, id: u32, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
-        self.settle_after(id, attempt, outcome, 100)
+    pub fn end_attempt(&mut self, id: u32, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        self.end_attempt_after(id, attempt, outcome, 100)
     }
 
-    pub fn settle_after(
+    pub fn end_attempt_after(
         &mut self,
         id: u32,
         attempt: u32,
         outcome: AttemptOutcome,
         spent: u64,
     ) -> Vec<Action> {
-        self.hear(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id: MessageId(id),
             attempt,
             outcome,
@@ -140,14 +140,14 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<u32> {
+pub fn sent_ids(actions: &[Action]) -> Vec<u32> {
     actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(id.0) } else { None }).collect()
 }
 
-pub fn refused(actions: &[Action], message: u32) -> bool {
+pub fn is_rejected(actions: &[Action], message: u32) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if id.0 == message))
 }
 
-pub fn failed(actions: &[Action], message: u32) -> bool {
+pub fn is_failed(actions: &[Action], message: u32) -> bool {
     actions.contains(&Action::Fail(MessageId(message)))
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -8,7 +8,7 @@
 use cedarwharf::report::Report;
 use cedarwharf::*;
 use common::core::{call_in, core, outcome_in, reply_in, start, start_with, submission, Folder};
-use common::{member, ms, settings, HOME, KEYED, SAFE, UNSAFE};
+use common::{endpoint_record, ms, settings, HOME, KEYED, SAFE, UNSAFE};
 use std::collections::BTreeMap;
 use std::fs;
 
@@ -372,8 +372,11 @@
     let folder = Folder::new("shrink");
     let mut engine = start(&folder, 1 << 20, 1_000);
     // The first endpoint drains, so that messages are held.
-    let gone = EndpointRecord { lifecycle: Lifecycle::Draining, ..member(1, HOME, 10.0) };
-    engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, vec![gone, member(2, HOME, 10.0)])]);
+    let gone = EndpointRecord { lifecycle: Lifecycle::Draining, ..endpoint_record(1, HOME, 10.0) };
+    engine.step(
+        ms(1_000),
+        [Input::EndpointRecords(ListScope::Whole, vec![gone, endpoint_record(2, HOME, 10.0)])],
+    );
     let ids: Vec<String> = (0..50).map(|number| format!("m{number}")).collect();
     let outputs = engine.step(ms(1_001), ids.iter().map(|id| submission(id, SAFE, 10)));
     let accepted = |outputs: &[Output]| {
@@ -430,7 +433,7 @@
 fn slot_limit_below_the_calls_in_progress_aborts_none() {
     let folder = Folder::new("slots");
     let mut engine = start(&folder, 1 << 20, 1_000);
-    let list = (1..=4).map(|number| member(number, HOME, 100.0)).collect();
+    let list = (1..=4).map(|number| endpoint_record(number, HOME, 100.0)).collect();
     engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     let calls = |outputs: &[Output]| -> Vec<u64> {
         let call = |output: &Output| if let Output::Call { call, .. } = output { Some(*call) } else { None };
@@ -539,7 +542,7 @@
     }
     assert!(first.unwrap() >= 2_510, "{first:?}");
     // The endpoint drains. Two changes of settings neither restore it nor restart the grace period.
-    let drained = EndpointRecord { lifecycle: Lifecycle::Draining, ..member(1, HOME, 10.0) };
+    let drained = EndpointRecord { lifecycle: Lifecycle::Draining, ..endpoint_record(1, HOME, 10.0) };
     engine.step(ms(4_000), [Input::EndpointRecords(ListScope::Changes, vec![drained])]);
     engine.configure(&core_with(|settings| settings.slots = 40));
     for step in 0..100u64 {
@@ -622,7 +625,7 @@
     let call = call_in(&engine.step(ms(1_000), [submission("k1", KEYED, 10)])).unwrap();
     engine.step(ms(1_001), [Input::Written(call)]);
     drop(engine);
-    let list = vec![EndpointRecord { zone: 0, ..member(2, HOME, 10.0) }];
+    let list = vec![EndpointRecord { zone: 0, ..endpoint_record(2, HOME, 10.0) }];
     let mut engine = Engine::start(&core, 5, (&folder.0, 1 << 20), ms(1_500), list, Resume::AtOnce);
     let mut outcomes = Vec::new();
     for now in (1_500..12_000).step_by(20) {
@@ -640,7 +643,7 @@
     for whole in [false, true] {
         let folder = Folder::new(&format!("drain-coming-up-{whole}"));
         let mut engine = start(&folder, 1 << 20, 1_000);
-        let other = member(2, HOME, 10.0);
+        let other = endpoint_record(2, HOME, 10.0);
         engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Changes, vec![other.clone()])]);
         let calls: Vec<(u64, EndpointId)> = (0..2)
             .map(|number| {
@@ -654,7 +657,7 @@
             .collect();
         assert_ne!(calls[0].1, calls[1].1, "one at each endpoint");
         let (coming_up, drained) = calls[0];
-        let stays = if drained == EndpointId(1) { other } else { member(1, HOME, 10.0) };
+        let stays = if drained == EndpointId(1) { other } else { endpoint_record(1, HOME, 10.0) };
         let news = match whole {
             false => Input::EndpointRecords(
                 ListScope::Changes,
@@ -736,7 +739,7 @@
     let folder = Folder::new("one-fate");
     let core = core(Settings { weights: Weights::Absent, ..settings() });
     let (state_folder, list) =
-        ((folder.0.as_path(), 1 << 20), vec![EndpointRecord { kind: 1, ..member(1, HOME, 0.0) }]);
+        ((folder.0.as_path(), 1 << 20), vec![EndpointRecord { kind: 1, ..endpoint_record(1, HOME, 0.0) }]);
     let mut engine = Engine::start(&core, 5, state_folder, ms(1_000), list, Resume::AtOnce);
     let Input::Submission(short) = submission("short", SAFE, 10) else { unreachable!() };
     let short = Input::Submission(MessageSubmission { time_left: ms(3_000), ..short });
@@ -766,7 +769,7 @@
     let folder = Folder::new("late-batch");
     let core = core(Settings { weights: Weights::Absent, ..settings() });
     let state_folder = (folder.0.as_path(), 1 << 20);
-    let list = vec![EndpointRecord { kind: 1, ..member(1, HOME, 0.0) }];
+    let list = vec![EndpointRecord { kind: 1, ..endpoint_record(1, HOME, 0.0) }];
     let mut engine = Engine::start(&core, 5, state_folder, ms(1_000), list, Resume::AtOnce);
     let timed = |id: &str, class, left| {
         let Input::Submission(submission) = submission(id, class, 10) else { unreachable!() };
@@ -862,7 +865,7 @@
     let begin = |now, list: &[EndpointRecord], resume| {
         Engine::start(&core, 5, (&folder.0, 1 << 20), ms(now), list.to_vec(), resume)
     };
-    let list = [member(1, HOME, 0.0)];
+    let list = [endpoint_record(1, HOME, 0.0)];
     let mut engine = begin(1_000, &list, Resume::AtOnce);
     let call = call_in(&engine.step(ms(1_000), [submission("ran", UNSAFE, 10)])).unwrap();
     engine.step(ms(1_001), [Input::Written(call)]);
@@ -926,7 +929,7 @@
 fn forwarder_starting_among_others_begins_with_its_share_of_a_limit() {
     let folder = Folder::new("begins");
     let settings = Settings { slots: 100, weights: Weights::Absent, ..settings() };
-    let list = vec![member(1, HOME, 0.0)];
+    let list = vec![endpoint_record(1, HOME, 0.0)];
     let mut engine = Engine::start(&core(settings), 5, (&folder.0, 1 << 20), ms(1_000), list, Resume::Paced);
     engine.set_forwarder_count(Some(10.0));
     let first = |raised| Some(InitialSendRate { floor_per_s: 0.1, ramp_factor: raised });
@@ -979,7 +982,7 @@
     let folder = Folder::new("untried");
     let core = core(Settings { slots: 1, weights: Weights::Absent, ..settings() });
     let state_folder = (folder.0.as_path(), 1 << 20);
-    let list = || vec![member(1, HOME, 0.0)];
+    let list = || vec![endpoint_record(1, HOME, 0.0)];
     let mut engine = Engine::start(&core, 5, state_folder, ms(1_000), list(), Resume::AtOnce);
     let timed = |id: &str, class, left| {
         let Input::Submission(submission) = submission(id, class, 10) else { unreachable!() };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -56,7 +56,7 @@
         let mut dispatcher = Dispatcher::new(told.clone(), seed);
         dispatcher.handle(
             ms(1),
-            [Event::EndpointRecords(ListScope::Cached, vec![member(1, HOME, 1.0)])],
+            [Event::EndpointRecords(ListScope::Cached, vec![endpoint_record(1, HOME, 1.0)])],
             &mut vec![],
         );
         dispatcher
@@ -84,12 +84,12 @@
             if random.f64() < part * STEP as f64 / 1e3 {
                 next += 1;
                 (sums.asked, sums.each[at].1) = (sums.asked + 1.0, sums.each[at].1 + 1.0);
-                events.push(handed_in(next, HOME, ms(12_000), SAFE, None));
+                events.push(message_event(next, HOME, ms(12_000), SAFE, None));
             }
             events.push(Event::Wake);
             let mut said = Vec::new();
             sender.handle(ms(1_000 + now), events, &mut said);
-            for id in sends(&said) {
+            for id in sent_ids(&said) {
                 let attempt = attempts.entry((at, id)).or_default();
                 *attempt += 1;
                 // A refused call uses the limit up as a served one does.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -40,16 +40,16 @@
 
 #[test]
 fn the_pause_before_a_try_doubles_from_500_ms_before_any_call_was_served() {
-    let mut sender = Sender::simple();
-    sender.message(1, SAFE, None);
+    let mut forwarder = TestForwarder::with_one_endpoint();
+    forwarder.submit(1, SAFE, None);
     let mut waits = Vec::new();
     for attempt in 0..3 {
-        let from = sender.now;
-        let mut said = sender.settle(1, attempt, AttemptOutcome::Error);
-        while !sends(&said).contains(&1) {
-            said = sender.wait(10);
+        let from = forwarder.now;
+        let mut said = forwarder.end_attempt(1, attempt, AttemptOutcome::Error);
+        while !sent_ids(&said).contains(&1) {
+            said = forwarder.advance(10);
         }
-        waits.push(sender.now.minus(from).as_ms());
+        waits.push(forwarder.now.minus(from).as_ms());
     }
     for (wait, pause) in waits.iter().zip([500.0, 1_000.0, 2_000.0]) {
         assert!(*wait >= pause && *wait <= pause + 3_000.0, "{waits:?}");
@@ -59,22 +59,22 @@
 
 #[test]
 fn moot_tells_nothing_of_a_destination() {
-    let mut sender = Sender::simple();
-    sender.message(1, SAFE, None);
-    let from = sender.now;
-    let mut said = sender.settle(1, 0, AttemptOutcome::NotSent);
-    while sends(&said).is_empty() {
-        said = sender.wait(10);
+    let mut forwarder = TestForwarder::with_one_endpoint();
+    forwarder.submit(1, SAFE, None);
+    let from = forwarder.now;
+    let mut said = forwarder.end_attempt(1, 0, AttemptOutcome::NotSent);
+    while sent_ids(&said).is_empty() {
+        said = forwarder.advance(10);
     }
-    assert!(sender.now.minus(from) <= ms(40), "no pause, no outage");
+    assert!(forwarder.now.minus(from) <= ms(40), "no pause, no outage");
 }
 
 #[test]
 fn messages_of_a_batching_kind_share_a_call() {
-    let batching = EndpointRecord { kind: 1, ..member(1, HOME, 10.0) };
-    let mut sender = Sender::new(settings(), vec![batching]);
-    let events: Vec<Event> = (0..3).map(|id| handed_in(id, HOME, ms(9_000), SAFE, None)).collect();
+    let batching = EndpointRecord { kind: 1, ..endpoint_record(1, HOME, 10.0) };
+    let mut forwarder = TestForwarder::new(settings(), vec![batching]);
+    let events: Vec<Event> = (0..3).map(|id| message_event(id, HOME, ms(9_000), SAFE, None)).collect();
     let mut said = Vec::new();
-    sender.dispatcher.handle(sender.now, events, &mut said);
-    assert_eq!(sends(&said), [0, 1, 2]);
+    forwarder.dispatcher.handle(forwarder.now, events, &mut said);
+    assert_eq!(sent_ids(&said), [0, 1, 2]);
 }
--- a/tests/random_drive.rs
+++ b/tests/random_drive.rs
@@ -61,8 +61,11 @@
     /// Endpoints 10 and 11 belong to destination 1, and so on.
     fn members(&self) -> Vec<EndpointRecord> {
         let all = (1..=3u64).flat_map(|d| [(10 * d, d), (10 * d + 1, d)]);
-        all.map(|(e, d)| EndpointRecord { kind: (d % 2) as usize, ..member(e, DestinationId(d), 20.0) })
-            .collect()
+        all.map(|(e, d)| EndpointRecord {
+            kind: (d % 2) as usize,
+            ..endpoint_record(e, DestinationId(d), 20.0)
+        })
+        .collect()
     }
 
     fn start(&mut self) {
--- a/tests/tenancy.rs
+++ b/tests/tenancy.rs
@@ -7,7 +7,7 @@
 use cedarwharf::tenancy::{Isolation, ShareLimits};
 use cedarwharf::*;
 use common::core::{core, reply_in, start_with, submission, Folder};
-use common::{member, ms, settings, HOME, SAFE, UNSAFE};
+use common::{endpoint_record, ms, settings, HOME, SAFE, UNSAFE};
 use std::collections::BTreeMap;
 
 /// A second destination; prompt where the first crawls.
@@ -27,7 +27,8 @@
 
 fn started(folder: &Folder, told: Settings) -> Engine {
     let mut engine = start_with(&core(told), folder, 1 << 20, 1_000);
-    let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
+    let list =
+        (0..20).map(|number| endpoint_record(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
     engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     engine
 }
@@ -272,7 +273,8 @@
     let folder = Folder::new("owed");
     let told = tenants(vec![Isolation::default(); 2]);
     let mut engine = start_with(&core(told), &folder, 1 << 17, 1_000);
-    let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
+    let list =
+        (0..20).map(|number| endpoint_record(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
     engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     let (mut now, mut refused) = (1_010, 0);
     let mut offered = |engine: &mut Engine, tenant: usize, destination, id: &str| {
