--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -27,8 +27,8 @@
         // Journals written before ids had scopes have all ids in the scope of their tenant.
         let tenant = self.directory.tenants.number(submission.tenant);
         for scope in [id_scope_number(submission.id_scope, tenant, submission.front), tenant] {
-            let name = (scope, submission.id.clone());
-            if let Some(message) = self.ids.get(&name).and_then(|number| self.messages.get(number)) {
+            let id = (scope, submission.id.clone());
+            if let Some(message) = self.ids.get(&id).and_then(|number| self.messages.get(number)) {
                 // A repeat has the same tenant, class and destination. Any other submission with this id is a
                 // conflict.
                 let is_repeat = (message.accepted.tenant, message.class, message.accepted.destination)
@@ -37,7 +37,7 @@
                     message.outcome.map_or(Reply::Accepted, |(outcome, _)| Reply::AlreadyEnded(outcome));
                 return Some(if is_repeat { reply } else { Reply::IdConflict });
             }
-            if let Some(outcome) = self.memory.outcome_of(&name, self.now) {
+            if let Some(outcome) = self.memory.outcome_of(&id, self.now) {
                 return Some(Reply::AlreadyEnded(outcome));
             }
         }
@@ -67,7 +67,7 @@
         if let Err(error) = admission {
             self.counts[submission.tenant].rejected += 1;
             self.totals.rejected += 1;
-            self.count(Some(submission.class), |figures| figures.declined += 1);
+            self.count(Some(submission.class), |counts| counts.declined += 1);
             let wait =
                 if let AdmissionError::RateExceeded(wait) = error { wait } else { DEFAULT_RETRY_AFTER };
             return Some(Reply::Rejected(wait));
@@ -127,10 +127,10 @@
         }
         self.live_bytes -= stored_size(&message.accepted);
         self.admission.release_bytes(message.tenant, stored_size(&message.accepted));
-        let name = scoped_id(&message.accepted);
-        self.ids.remove(&name);
+        let id = scoped_id(&message.accepted);
+        self.ids.remove(&id);
         if let Some((outcome, at)) = message.outcome {
-            self.memory.add(message.accepted.tenant, name, outcome, at);
+            self.memory.add(message.accepted.tenant, id, outcome, at);
         }
     }
 
@@ -148,7 +148,7 @@
         self.totals.rejected += 1;
         self.outputs.push(Output::Reply(token, message.accepted.front, Reply::Rejected(retry_after)));
         let class = message.class;
-        self.count(class, |figures| figures.declined += 1);
+        self.count(class, |counts| counts.declined += 1);
         self.drop_message(id);
     }
 
--- a/src/engine/calls.rs
+++ b/src/engine/calls.rs
@@ -63,7 +63,7 @@
         let messages: Vec<MessageId> = call.items.iter().flatten().map(|item| item.0).collect();
         for id in messages {
             let class = self.messages.get(&id).and_then(|message| message.class);
-            self.count(class, |figures| figures.forwards += 1);
+            self.count(class, |counts| counts.forwards += 1);
         }
     }
 
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -70,6 +70,7 @@
     class: Option<usize>,
     tenant: usize,
     attempts: u32,
+    /// When and where the first attempt that may have run was sent.
     may_have_run: Option<(Micros, EndpointId)>,
     /// The call that carries its current attempt.
     call: Option<CallId>,
@@ -122,18 +123,22 @@
     destinations: BTreeSet<DestinationId>,
     /// Kind of destination of each endpoint, which bounds the size of its calls.
     kinds: BTreeMap<EndpointId, usize>,
+    /// Events for the dispatcher, records for the journal and outputs of the current iteration.
     events: Vec<Event>,
     records: Vec<Record>,
     outputs: Vec<Output>,
     /// Submissions of this iteration that the dispatcher has not rejected.
     new_submissions: BTreeMap<MessageId, Token>,
+    /// Approximate size of the messages in the journal, without names and remembered outcomes.
     live_bytes: u64,
     wake_at: Option<Micros>,
     /// Recovered messages that are not passed to the dispatcher yet; `None` if all were passed at once.
     replay: Option<Replay>,
     /// No further call may start: the dispatcher is no longer asked.
     calls_stopped: bool,
+    /// Numbers of the paused tenants.
     paused: BTreeSet<u32>,
+    /// Counts by tenant index.
     counts: Vec<Counts>,
     /// Counts by class index.
     class_counts: Vec<ClassCounts>,
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -93,7 +93,7 @@
     assert_eq!(reply_in(&engine.step(ms(3_010), [submission("m1", SAFE, 10)])), Some(Reply::Accepted));
     let known = Some(Reply::AlreadyEnded(FinalOutcome::Undeliverable));
     assert_eq!(reply_in(&engine.step(ms(3_020), [submission("m2", UNSAFE, 10)])), known);
-    let attempts: Vec<u32> = engine.messages().map(|flow| flow.attempts).collect();
+    let attempts: Vec<u32> = engine.messages().map(|message| message.attempts).collect();
     assert_eq!(attempts, [2, 1]);
 }
 
@@ -207,18 +207,18 @@
     drop(journal);
     let path = folder.0.join("flows.journal");
     let bytes = fs::read(&path).unwrap();
-    let mut seen = 0;
+    let mut record_count = 0;
     for cut in 0..=bytes.len() {
         fs::write(&path, &bytes[..cut]).unwrap();
-        let RecoveredJournal { mut journal, records: found, .. } = Journal::open(&folder.0, 1 << 20);
-        assert_eq!(found, records[..found.len()], "cut at {cut}");
-        assert!(found.len() >= seen);
-        seen = found.len();
+        let RecoveredJournal { mut journal, records: recovered, .. } = Journal::open(&folder.0, 1 << 20);
+        assert_eq!(recovered, records[..recovered.len()], "cut at {cut}");
+        assert!(recovered.len() >= record_count);
+        record_count = recovered.len();
         // Records written after a torn tail are readable.
         journal.commit(&[Record::Reported(message)], || vec![Record::Reported(message)]).unwrap();
         assert_eq!(Journal::open(&folder.0, 1 << 20).records.last(), Some(&Record::Reported(message)));
     }
-    assert_eq!(seen, records.len());
+    assert_eq!(record_count, records.len());
     // A flipped bit only ends the replay at that record.
     let mut damaged = bytes.clone();
     damaged[bytes.len() / 2] ^= 1;
@@ -253,11 +253,11 @@
 fn held_messages(engine: &Engine) -> Vec<(String, String, String)> {
     let names = engine.directory();
     let text = |id: &[u8]| String::from_utf8(id.to_vec()).unwrap();
-    let line = |flow: cedarwharf::engine::MessageView| {
+    let line = |message: cedarwharf::engine::MessageView| {
         (
-            text(&flow.id),
-            names.classes.name(flow.class).to_owned(),
-            names.tenants.name(flow.tenant).to_owned(),
+            text(&message.id),
+            names.classes.name(message.class).to_owned(),
+            names.tenants.name(message.tenant).to_owned(),
         )
     };
     engine.messages().map(line).collect()
@@ -346,10 +346,10 @@
     let before = held_messages(&engine);
     drop(engine);
     // The same records without names, under the magic line of the first format, whose numbers are indices.
-    let found = Journal::open(&folder.0, 1 << 20);
+    let recovered = Journal::open(&folder.0, 1 << 20);
     let plain: Vec<Record> =
-        found.records.into_iter().filter(|record| !matches!(record, Record::Named { .. })).collect();
-    let mut journal = found.journal;
+        recovered.records.into_iter().filter(|record| !matches!(record, Record::Named { .. })).collect();
+    let mut journal = recovered.journal;
     journal.compact(&plain).unwrap();
     let path = folder.0.join("flows.journal");
     let mut bytes = fs::read(&path).unwrap();
@@ -387,10 +387,10 @@
     let mut outcomes = std::collections::BTreeMap::new();
     let (mut calls, mut fresh) = (Vec::new(), 0);
     let mut now = ms(1_010);
-    for turn in 0..4_000 {
+    for iteration in 0..4_000 {
         let mut inputs: Vec<Input> = std::mem::take(&mut calls);
-        if turn % 100 == 0 && engine.messages().count() > 5 {
-            inputs.push(submission(&format!("late{turn}"), SAFE, 10));
+        if iteration % 100 == 0 && engine.messages().count() > 5 {
+            inputs.push(submission(&format!("late{iteration}"), SAFE, 10));
         }
         let outputs = engine.step(now, inputs);
         for output in &outputs {
@@ -755,7 +755,8 @@
     assert!(outputs.iter().any(|out| matches!(out, Output::Abort(aborted) if *aborted == call)));
     let results = vec![(0, AttemptOutcome::Delivered, true), (1, AttemptOutcome::Delivered, true)];
     let late = engine.step(ms(4_010), [Input::Answered { call, results, wait: None }]);
-    let long = engine.messages().find(|flow| &flow.id[..] == b"long").expect("it has no final outcome yet");
+    let long =
+        engine.messages().find(|message| &message.id[..] == b"long").expect("it has no final outcome yet");
     assert!(
         !long.in_flight && long.outcome.is_none() && outcome_in(&late).is_none(),
         "it is not in flight: {late:?}"
