--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -13,10 +13,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Messages of each loop iteration that were ended, with whether they were submitted in that iteration.
-fn ended_early(sender: &mut Sender, id: u32, class: usize, tenant: usize) -> Vec<u32> {
+fn ended_early(forwarder: &mut TestForwarder, id: u32, class: usize, tenant: usize) -> Vec<u32> {
     let message =
         Submission { destination: HOME, time_left: ms(12_000), class, key: None, tenant, resubmitted: false };
-    let actions = sender.hear(Event::Message(MessageId(id), message));
+    let actions = forwarder.handle(Event::Message(MessageId(id), message));
     let ended = actions.iter().filter_map(|action| match action {
         Action::Reject { id, .. } | Action::Fail(id) => Some(id.0),
         _ => None,
@@ -25,11 +25,11 @@
 }
 
 /// A destination told to wait, so that all that is accepted is held.
-fn holding(settings: Settings) -> Sender {
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0)]);
-    sender.message(0, SAFE, None);
-    sender.settle(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
-    sender
+fn holding(settings: Settings) -> TestForwarder {
+    let mut forwarder = TestForwarder::new(settings, vec![endpoint_record(1, HOME, 10.0)]);
+    forwarder.submit(0, SAFE, None);
+    forwarder.end_attempt(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
+    forwarder
 }
 
 #[test]
@@ -37,13 +37,13 @@
     let mut settings = settings();
     settings.classes[KEYED].worth = 4.0;
     (settings.tenants, settings.forwarders) = (vec![0.5, 0.5], 1);
-    let mut sender = holding(settings);
+    let mut forwarder = holding(settings);
     let mut rejected = BTreeMap::new();
     for id in 1..200u32 {
         let class = if id < 60 { SAFE } else { KEYED };
-        let others = ended_early(&mut sender, id, class, usize::from(id % 6 == 0));
+        let others = ended_early(&mut forwarder, id, class, usize::from(id % 6 == 0));
         assert_eq!(others, [0u32; 0], "ended to make room for {id}");
-        *rejected.entry(class).or_insert(0) += i32::from(refused(&sender.said, id));
+        *rejected.entry(class).or_insert(0) += i32::from(is_rejected(&forwarder.actions, id));
     }
     // Of 60 places 0.7 and a quarter of the rest are for a class of a quarter of the worth; the others are left to the greater.
     assert!(rejected[&SAFE] >= 13, "places are kept for what is worth more: {rejected:?}");
@@ -71,7 +71,7 @@
         let mut untried = Vec::new();
         for number in 0..42 {
             let id = format!("old{number}");
-            let outputs = engine.step(ms(1), [offer(&id, KEYED, 3)]);
+            let outputs = engine.step(ms(1), [submission(&id, KEYED, 3)]);
             assert_eq!(reply_in(&outputs), Some(Reply::Accepted));
             if carried(&outputs).is_empty() {
                 untried.push(id);
@@ -122,7 +122,7 @@
     let mut start = Recovered::start("admission-restart");
     for number in 0..400 {
         // Steps of 20 ms, of which the first bring as many submissions as there are places; each call is answered in a later one.
-        let new = (number < 60).then(|| offer(&format!("new{number}"), SAFE, 3));
+        let new = (number < 60).then(|| submission(&format!("new{number}"), SAFE, 3));
         let ended = start.step(500 + 20 * number, new, true);
         assert_eq!(ended, [""; 0], "given up in step {number}");
     }
@@ -137,7 +137,7 @@
     for number in 0..500 {
         // For all of the time that the recovered have left, five times as many are handed in as are answered; these alone would
         // be through in less than half of it.
-        let new = Some(offer(&format!("new{number}"), SAFE, 3));
+        let new = Some(submission(&format!("new{number}"), SAFE, 3));
         ended.extend(start.step(500 + 20 * number, new, number % 5 == 0));
     }
     assert!(start.rejected > 0, "the places never ran short");
