--- a/src/choice.rs
+++ b/src/choice.rs
@@ -557,8 +557,8 @@
                 for (health, name) in [(&mut endpoint.health, "endpoint"), (&mut route.health, "destination")]
                 {
                     if health.record_success(now, self.settings.recovery_time) {
-                        let line =
-                            format!("{name} recovering: destination {destination} endpoint {:x}", id.0);
+                        // The simulator records this text: it stays letter for letter.
+                        let line = format!("{name} returning: destination {destination} endpoint {:x}", id.0);
                         self.actions.push(Action::Log(line));
                     }
                 }
@@ -594,7 +594,7 @@
                     || retry_after.is_some_and(|retry_after| retry_after > RETRY_AFTER_TO_OPEN)
                 {
                     route.health.refusing = true;
-                    self.open_route_circuit(call.route, "shut, it rejects calls");
+                    self.open_route_circuit(call.route, "shut");
                 }
             }
             _ => {
@@ -616,10 +616,8 @@
                     if endpoint.health.circuit != CircuitState::Open {
                         endpoint.health.open_circuit(now, self.random.f64());
                         let destination = call.route.0 .0;
-                        let line = format!(
-                            "endpoint out of service, circuit open: destination {destination} endpoint {:x}",
-                            id.0
-                        );
+                        // The simulator records this text: it stays letter for letter.
+                        let line = format!("endpoint out: destination {destination} endpoint {:x}", id.0);
                         self.actions.push(Action::Log(line));
                     }
                     // Most outages affect all endpoints of a destination, and each forwarder would try each
--- a/src/choice/upkeep.rs
+++ b/src/choice/upkeep.rs
@@ -322,12 +322,14 @@
             .retain(|_, route| now.minus(route.used_at) < UNUSED_STATE_TTL || route.retry_after_until > now);
     }
 
-    /// Opens the circuit of a route, unless it is open already.
+    /// Opens the circuit of a route, unless it is open already. `reason` is a part of the text that the
+    /// simulator records.
     pub(super) fn open_route_circuit(&mut self, id: RouteId, reason: &str) {
         let Some(route) = self.routes.get_mut(&id) else { return };
         if route.health.circuit != CircuitState::Open {
             route.health.open_circuit(self.now, self.random.f64());
-            let line = format!("destination out of service, circuit open: destination {}: {reason}", id.0 .0);
+            // The simulator records this text: it stays letter for letter.
+            let line = format!("destination out: {} {reason}", id.0 .0);
             self.actions.push(Action::Log(line));
         }
     }
