--- a/src/cli/lab.rs
+++ b/src/cli/lab.rs
@@ -1,4 +1,4 @@
-//! `cedarwharf lab ...`: experiments on the project's own emulator of a fleet, one JSON object each.
+//! `cedarwharf lab ...`: experiments on an emulated fleet. Each prints its report as one JSON object.
 
 use super::Exit;
 use cedarwharf::lab::{cold_start, maintenance, membership, Fault};
@@ -8,29 +8,29 @@
 
 #[derive(Subcommand)]
 pub enum Experiment {
-    /// Membership: how soon crashes are known, who is wrongly declared dead, what it costs
+    /// Membership: time until a crash is detected, members wrongly declared dead, network traffic
     Membership(MembershipArgs),
-    /// A cold start: calls to the list service, first connections at endpoints, and when each is ready
+    /// Cold start: calls to the list service, first connections at endpoints, time until each forwarder is ready
     ColdStart(ColdStartArgs),
-    /// Maintenance: how many are out at once, and what a round takes, while forwarders crash, stall or are cut off
+    /// Maintenance: forwarders out at once and duration of a plan, while forwarders crash, stall or are partitioned
     Maintenance(MaintenanceArgs),
 }
 
 #[derive(Args)]
 pub struct MaintenanceArgs {
-    /// Forwarders of the fleet; all of them go out
+    /// Forwarders of the fleet; all of them go out of service once
     #[arg(long, default_value_t = 10)]
     forwarders: usize,
-    /// How many of them vote
+    /// Forwarders that are voters
     #[arg(long, default_value_t = 5)]
     voters: usize,
-    /// Out at once at the most
+    /// Most forwarders that are out of service at once
     #[arg(long, default_value_t = 2)]
     at_once: u32,
-    /// Seed of every chance in the run: the same seed gives the same output
+    /// Seed of all random choices: the same seed gives the same output
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// What goes wrong, with commas between: crash, stall, partition
+    /// Faults to inject, separated by commas: crash, stall, partition
     #[arg(long, value_delimiter = ',', value_parser = ["crash", "stall", "partition"])]
     faults: Vec<String>,
     /// Share of the members' datagrams lost, 0 to 1
@@ -39,39 +39,40 @@
     /// Mean one-way delay between members in milliseconds
     #[arg(long, default_value_t = 1.0)]
     delay_ms: f64,
-    /// Seconds that each is out at the most; work takes three to eight tenths of it
+    /// Longest time in seconds that each forwarder is out of service; the work takes 30% to 80% of it
     #[arg(long, default_value_t = 20.0)]
     window_s: f64,
-    /// Seconds of simulated time after the request, at the most
+    /// Most seconds of simulated time after the request
     #[arg(long, default_value_t = 3600.0)]
     duration_s: f64,
-    /// One line of JSON (without: the same object, indented)
+    /// Print the report on one line (by default it is indented)
     #[arg(long)]
     json: bool,
 }
 
 impl MaintenanceArgs {
+    /// Checks the arguments and makes the experiment's plan of them.
     fn plan(&self) -> Result<maintenance::Plan, String> {
-        let told = [
+        let requirements = [
             (
-                (1..=MOST_FORWARDERS).contains(&self.forwarders),
-                format!("--forwarders is 1 to {MOST_FORWARDERS}"),
+                (1..=MAX_FORWARDERS).contains(&self.forwarders),
+                format!("--forwarders must be 1 to {MAX_FORWARDERS}"),
             ),
-            ((1..=self.forwarders).contains(&self.voters), "--voters is 1 to --forwarders".to_owned()),
+            ((1..=self.forwarders).contains(&self.voters), "--voters must be 1 to --forwarders".to_owned()),
             (
                 self.at_once > 0 && (self.at_once as usize) < self.forwarders,
-                "--at-once is above 0 and below --forwarders".to_owned(),
+                "--at-once must be above 0 and below --forwarders".to_owned(),
             ),
-            ((0.0..=1.0).contains(&self.loss), "--loss is 0 to 1".to_owned()),
+            ((0.0..=1.0).contains(&self.loss), "--loss must be 0 to 1".to_owned()),
             (
                 self.window_s >= 1.0 && self.duration_s >= self.window_s,
-                "--window-s is 1 or more, --duration-s no less".to_owned(),
+                "--window-s must be 1 or more, and --duration-s at least --window-s".to_owned(),
             ),
         ];
-        if let Some((_, problem)) = told.into_iter().find(|(good, _)| !good) {
+        if let Some((_, problem)) = requirements.into_iter().find(|(met, _)| !met) {
             return Err(problem);
         }
-        let fault = |name: &str| self.faults.iter().any(|one| one == name);
+        let fault = |name: &str| self.faults.iter().any(|fault| fault == name);
         Ok(maintenance::Plan {
             forwarders: self.forwarders,
             voters: self.voters,
@@ -94,31 +95,31 @@
     /// Forwarders of the fleet
     #[arg(long, default_value_t = 50)]
     forwarders: usize,
-    /// Endpoints that all of them call
+    /// Endpoints, which all forwarders call
     #[arg(long, default_value_t = 3)]
     endpoints: usize,
-    /// Calls a second that each endpoint takes
+    /// Calls per second that each endpoint serves
     #[arg(long, default_value_t = 100.0)]
     capacity: f64,
-    /// Connections that each endpoint holds
+    /// Connections that each endpoint accepts
     #[arg(long, default_value_t = 64)]
     connections: usize,
-    /// Messages handed in, as a share of what the endpoints take together
+    /// Submitted messages, as a share of the capacity of all endpoints
     #[arg(long, default_value_t = 0.5)]
     load: f64,
-    /// Messages in the journal of each forwarder that is killed, beside what is under way
+    /// Messages added to the journal of each killed forwarder, besides those in progress
     #[arg(long, default_value_t = 5)]
     held: usize,
-    /// Endpoints that are out from the starts on
+    /// Endpoints that are down from the counted starts on
     #[arg(long, default_value_t = 0)]
     endpoints_out: usize,
-    /// Seed of every chance in the run: the same seed gives the same output
+    /// Seed of all random choices: the same seed gives the same output
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// How the list service answers: live, slow, silent, refusing or partial
-    #[arg(long, default_value = "live", value_parser = service)]
+    #[arg(long, default_value = "live", value_parser = parse_list_service)]
     list_service: cold_start::Service,
-    /// Share of a running fleet that is killed and started again at once; 0: all start from nothing
+    /// Share of a running fleet that is killed and restarted at once; 0: all forwarders start without state
     #[arg(long, default_value_t = 0.0)]
     killed_share: f64,
     /// Share of the members' datagrams lost, 0 to 1
@@ -127,33 +128,33 @@
     /// Mean one-way delay between members in milliseconds
     #[arg(long, default_value_t = 1.0)]
     delay_ms: f64,
-    /// Seconds of simulated time from the starts that are counted
+    /// Seconds of simulated time from the counted starts on
     #[arg(long, default_value_t = 15.0)]
     duration_s: f64,
-    /// One line of JSON (without: the same object, indented)
+    /// Print the report on one line (by default it is indented)
     #[arg(long)]
     json: bool,
 }
 
-fn service(text: &str) -> Result<cold_start::Service, String> {
+fn parse_list_service(text: &str) -> Result<cold_start::Service, String> {
     use cold_start::Service;
-    let all = [
+    let services = [
         ("live", Service::Live),
         ("slow", Service::Slow),
         ("silent", Service::Silent),
         ("refusing", Service::Refusing),
         ("partial", Service::Partial),
     ];
-    let found = all.into_iter().find(|(name, _)| *name == text);
-    found
+    let service = services.into_iter().find(|(name, _)| *name == text);
+    service
         .map(|(_, service)| service)
-        .ok_or_else(|| "write live, slow, silent, refusing or partial".to_owned())
+        .ok_or_else(|| "expected live, slow, silent, refusing or partial".to_owned())
 }
 
-/// Each has a simulated address of its own.
-const MOST_FORWARDERS: usize = 4_096;
+/// Each forwarder has a simulated address of its own.
+const MAX_FORWARDERS: usize = 4_096;
 
-/// The one object that an experiment prints.
+/// Prints the report of an experiment as one JSON object.
 fn print(report: &impl serde::Serialize, json: bool) -> Exit {
     let text = if json { serde_json::to_string(report) } else { serde_json::to_string_pretty(report) };
     println!("{}", text.expect("a report is plain data"));
@@ -165,76 +166,77 @@
     /// Members of the fleet
     #[arg(long, default_value_t = 50)]
     members: usize,
-    /// Seed of every chance in the run: the same seed gives the same output
+    /// Seed of all random choices: the same seed gives the same output
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Share of datagrams lost, 0 to 1 (0.05 is 5%)
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
-    /// Mean one-way delay in milliseconds (each datagram 0.5 to 1.5 times it)
+    /// Mean one-way delay in milliseconds (each datagram takes 0.5 to 1.5 times the mean)
     #[arg(long, default_value_t = 1.0)]
     delay_ms: f64,
     /// Members that crash at the end of the warm-up
     #[arg(long, default_value_t = 1)]
     crash: usize,
-    /// K:MS: K members stopped for MS milliseconds, a second after the warm-up
-    #[arg(long, value_parser = stall)]
+    /// K:MS: K members are stopped for MS milliseconds, one second after the warm-up
+    #[arg(long, value_parser = parse_stall)]
     stall: Option<(usize, f64)>,
-    /// A/B:SECONDS: the first A members cut from the next B for SECONDS, from the end of the warm-up
-    #[arg(long, value_parser = partition)]
+    /// A/B:SECONDS: the first A members are partitioned from the next B for SECONDS, from the end of the warm-up
+    #[arg(long, value_parser = parse_partition)]
     partition: Option<(usize, usize, f64)>,
     /// Seconds for the fleet to join before faults begin
     #[arg(long, default_value_t = 10.0)]
     warmup_s: f64,
-    /// Seconds of simulated time in all
+    /// Seconds of simulated time in total
     #[arg(long, default_value_t = 30.0)]
     duration_s: f64,
-    /// The protocol period in milliseconds
+    /// Protocol period in milliseconds
     #[arg(long, default_value_t = 200.0)]
     probe_interval_ms: f64,
-    /// The direct probe's timeout in milliseconds
+    /// Timeout of a direct probe in milliseconds
     #[arg(long, default_value_t = 100.0)]
     probe_timeout_ms: f64,
-    /// The shortest suspicion timeout is this times log10(n) periods
+    /// Shortest suspicion timeout, as a multiple of log10(n) periods
     #[arg(long, default_value_t = 3.5)]
     suspicion_multiplier: f64,
-    /// One line of JSON (without: the same object, indented)
+    /// Print the report on one line (by default it is indented)
     #[arg(long)]
     json: bool,
 }
 
-fn stall(text: &str) -> Result<(usize, f64), String> {
-    let (count, ms) = text.split_once(':').ok_or("write K:MS, as 1:500")?;
-    let count = count.parse().map_err(|_| "K is a whole number")?;
-    let ms: f64 = ms.parse().map_err(|_| "MS is a number of milliseconds")?;
-    (ms > 0.0 && ms.is_finite()).then_some((count, ms)).ok_or_else(|| "MS is above 0".to_owned())
+fn parse_stall(text: &str) -> Result<(usize, f64), String> {
+    let (count, ms) = text.split_once(':').ok_or("expected K:MS, such as 1:500")?;
+    let count = count.parse().map_err(|_| "K must be a whole number")?;
+    let ms: f64 = ms.parse().map_err(|_| "MS must be a number of milliseconds")?;
+    (ms > 0.0 && ms.is_finite()).then_some((count, ms)).ok_or_else(|| "MS must be above 0".to_owned())
 }
 
-fn partition(text: &str) -> Result<(usize, usize, f64), String> {
-    let (groups, length) = text.split_once(':').ok_or("write A/B:SECONDS, as 20/10:30")?;
-    let (a, b) = groups.split_once('/').ok_or("write A/B:SECONDS, as 20/10:30")?;
-    let a = a.parse().map_err(|_| "A is a whole number")?;
-    let b = b.parse().map_err(|_| "B is a whole number")?;
-    let length: f64 = length.parse().map_err(|_| "SECONDS is a number")?;
+fn parse_partition(text: &str) -> Result<(usize, usize, f64), String> {
+    let (groups, length) = text.split_once(':').ok_or("expected A/B:SECONDS, such as 20/10:30")?;
+    let (a, b) = groups.split_once('/').ok_or("expected A/B:SECONDS, such as 20/10:30")?;
+    let a = a.parse().map_err(|_| "A must be a whole number")?;
+    let b = b.parse().map_err(|_| "B must be a whole number")?;
+    let length: f64 = length.parse().map_err(|_| "SECONDS must be a number")?;
     (length > 0.0 && length.is_finite())
         .then_some((a, b, length))
-        .ok_or_else(|| "SECONDS is above 0".to_owned())
+        .ok_or_else(|| "SECONDS must be above 0".to_owned())
 }
 
-pub fn carry_out(experiment: Experiment) -> Exit {
+/// Runs an experiment and prints its report.
+pub fn run(experiment: Experiment) -> Exit {
     match experiment {
         Experiment::Membership(args) => {
             if let Some((a, b, _)) = args.partition {
                 if a + b != args.members || a == 0 || b == 0 {
                     eprintln!(
-                        "cedarwharf lab membership: --partition {a}/{b} must split all {} members in two",
+                        "cedarwharf lab membership: --partition {a}/{b} must split all {} members into two groups",
                         args.members
                     );
                     return Exit::Problems;
                 }
             }
             if !(0.0..=1.0).contains(&args.loss) || args.members == 0 || args.duration_s <= args.warmup_s {
-                eprintln!("cedarwharf lab membership: --loss is 0 to 1, --members above 0, --duration-s above --warmup-s");
+                eprintln!("cedarwharf lab membership: --loss must be 0 to 1, --members above 0, --duration-s above --warmup-s");
                 return Exit::Problems;
             }
             let settings = Settings {
@@ -265,15 +267,15 @@
             }
         },
         Experiment::ColdStart(args) => {
-            let shares = [args.loss, args.killed_share].iter().all(|share| (0.0..=1.0).contains(share));
-            let above = args.duration_s > 0.0 && args.capacity > 0.0 && args.load >= 0.0;
-            if !shares
-                || !above
+            let shares_valid = [args.loss, args.killed_share].iter().all(|share| (0.0..=1.0).contains(share));
+            let quantities_valid = args.duration_s > 0.0 && args.capacity > 0.0 && args.load >= 0.0;
+            if !shares_valid
+                || !quantities_valid
                 || args.forwarders == 0
                 || args.endpoints == 0
-                || args.forwarders > MOST_FORWARDERS
+                || args.forwarders > MAX_FORWARDERS
             {
-                eprintln!("cedarwharf lab cold-start: --loss and --killed-share are 0 to 1, --forwarders 1 to {MOST_FORWARDERS}, --endpoints, --capacity and --duration-s above 0");
+                eprintln!("cedarwharf lab cold-start: --loss and --killed-share must be 0 to 1, --forwarders 1 to {MAX_FORWARDERS}, --endpoints, --capacity and --duration-s above 0");
                 return Exit::Problems;
             }
             let plan = cold_start::Plan {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Without a verb the program runs, as the platform starts it.
+//! The command line. Without a verb the forwarder runs: the platform starts the program that way.
 
 mod lab;
 mod maintenance;
@@ -15,31 +15,31 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What a command comes to, as the exit code that scripts go by.
+/// Result of a command, as the exit code that scripts check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
     Done = 0,
-    /// The configuration has problems, or the process cannot start or go on.
+    /// The configuration has problems, or the process cannot start or keep running.
     Problems = 1,
-    /// Another version is in force, one is on trial, or it cannot be prepared.
+    /// Another version is in force, a version is on trial, or the change cannot be prepared.
     Conflict = 3,
-    /// Nobody answers at the address.
+    /// No answer from the address.
     Unreachable = 4,
-    /// The token does not allow it.
+    /// The token does not permit the command.
     Forbidden = 5,
-    /// Not now: it is stopping, or too many changes wait.
+    /// The process is stopping, or too many changes are queued; the command may be retried.
     NotNow = 6,
 }
 
-const AFTER: &str = "Exit codes: 0 done; 1 the configuration has problems, or the start failed; 2 the command line is \
-wrong; 3 another version is in force, one is on trial, or the change cannot be prepared; 4 nobody answers; 5 the token \
-does not allow it; 6 not now, come again.";
+const EXIT_CODES_HELP: &str = "Exit codes: 0 success; 1 the configuration has problems, or the start failed; 2 invalid \
+command line; 3 another version is in force, a version is on trial, or the change cannot be prepared; 4 no answer; 5 the \
+token does not permit the command; 6 temporarily unavailable, retry later.";
 
-/// Takes messages on for outside partners and gives each exactly one end.
+/// Forwards messages to outside destinations and reports exactly one final outcome for each
 #[derive(Parser)]
-#[command(version, after_help = AFTER, args_conflicts_with_subcommands = true)]
+#[command(version, after_help = EXIT_CODES_HELP, args_conflicts_with_subcommands = true)]
 struct Cli {
-    /// The operators' file; the same as `run FILE`
+    /// The operators' file (YAML); the same as `run FILE`
     file: Option<PathBuf>,
     #[command(subcommand)]
     verb: Option<Verb>,
@@ -47,117 +47,121 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Run the forwarder (PROXY_CONFIG names the platform's file, PROXY_STATE the folder that lasts)
+    /// Run the forwarder (PROXY_CONFIG names the platform's file, PROXY_STATE the state folder)
     Run {
-        /// The operators' file, YAML
+        /// The operators' file (YAML)
         file: Option<PathBuf>,
-        /// Let the file count even where a version is kept: by default, a start runs the last version in force
+        /// Use the file even if the state folder has a version; by default, a start uses the last version in force
         #[arg(long)]
         from_file: bool,
     },
-    /// Check an operators' file, telling every problem
+    /// Check an operators' file and report every problem
     Check {
-        /// The file
+        /// The operators' file (YAML)
         file: PathBuf,
-        /// The platform's file that it is laid over; without one, only the file itself is checked
+        /// The platform's file that the operators' file overrides; without it, only the operators' file is checked
         #[arg(long, env = "PROXY_CONFIG")]
         platform: Option<PathBuf>,
+        /// Format of the output
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
     /// Print the JSON Schema of the operators' file
     Schema,
-    /// Experiments on the project's own emulator of a fleet (simulated time and network), one JSON object each
+    /// Run an experiment on an emulated fleet (simulated time and network); prints one JSON object
     Lab {
         #[command(subcommand)]
         experiment: lab::Experiment,
     },
-    /// Take forwarders out for work, in an order that they settle among themselves
+    /// Take forwarders out of service for maintenance, in an order that the forwarders agree on
     Maintenance {
         #[command(flatten)]
-        at: maintenance::At,
+        connection: maintenance::Connection,
         #[command(subcommand)]
-        deed: maintenance::Deed,
+        command: maintenance::Command,
     },
-    /// Look at or change the configuration of a running process
+    /// Show or change the configuration of a running process
     Config {
         #[command(flatten)]
-        at: At,
+        connection: Connection,
         #[command(subcommand)]
-        deed: Deed,
+        command: Command,
     },
 }
 
+/// How to reach the administration API, and how to print its answer.
 #[derive(Args)]
-struct At {
-    /// Where the administration API listens
+struct Connection {
+    /// Address of the administration API
     #[arg(long, global = true, env = "CEDARWHARF_ADMIN", default_value = "127.0.0.1:8081")]
     admin: String,
-    /// The file that holds the bearer token; else CEDARWHARF_TOKEN holds it
+    /// File with the bearer token; without it, the token is taken from CEDARWHARF_TOKEN
     #[arg(long, global = true)]
     token_file: Option<PathBuf>,
+    /// Format of the output
     #[arg(long, global = true, value_enum, default_value = "text")]
     output: Output,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Output {
-    /// For people
+    /// Plain text for people
     Text,
-    /// For scripts
+    /// JSON for scripts
     Json,
 }
 
+/// Conditions under which a version is rolled back by itself.
 #[derive(Args)]
-struct Trying {
-    /// Go back by itself unless confirmed within this time (as 30s, 5m)
+struct TrialOptions {
+    /// Roll back automatically unless the version is confirmed within this time (such as 30s or 5m)
     #[arg(long, value_parser = duration, conflicts_with = "probation")]
     confirm_within: Option<f64>,
-    /// Go back by itself if, within this time, the service goes out of the bounds
+    /// Roll back automatically if the service exceeds a bound within this time
     #[arg(long, value_parser = duration)]
     probation: Option<f64>,
-    /// Bound: share of offers that may be turned down, 0 to 1
+    /// Bound: largest share of submissions that may be rejected, 0 to 1
     #[arg(long)]
     turn_downs: Option<f64>,
-    /// Bound: milliseconds that a turn may take
+    /// Bound: most milliseconds that a loop iteration may take
     #[arg(long)]
     turn_ms: Option<f64>,
 }
 
 #[derive(Subcommand)]
-enum Deed {
-    /// What is in force
+enum Command {
+    /// Show the version in force and its values
     Show,
-    /// What a file, or the candidate, would change
+    /// Show what a file, or the staged candidate, would change
     Diff { file: Option<PathBuf> },
-    /// Keep a file as the candidate
+    /// Store a file as the candidate
     Stage { file: PathBuf },
-    /// Put a file, or the candidate, in force
+    /// Put a file, or the staged candidate, in force
     Apply {
         file: Option<PathBuf>,
-        /// The version that it was made from; by default the one in force as the command starts
+        /// Version that the file is based on; by default the one in force when the command starts
         #[arg(long)]
         from: Option<u64>,
-        /// What for, for the history
+        /// Reason for the change, kept in the history
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        trying: Trying,
+        trial: TrialOptions,
     },
     /// Keep the version that is on trial
     Confirm,
-    /// Go back to a version; by default the one before
+    /// Go back to an earlier version; by default the previous one
     Undo {
         to: Option<u64>,
-        /// What for, for the history
+        /// Reason for the change, kept in the history
         #[arg(long, default_value = "")]
         why: String,
     },
-    /// The versions that are kept
+    /// List the stored versions
     History,
 }
 
-/// Seconds, from `30s`, `5m`, `1.5h` or a plain number.
+/// Parses `30s`, `5m`, `1.5h` or a plain number into seconds.
 fn duration(text: &str) -> Result<f64, String> {
     let number = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
     let unit = &text[number.len()..];
@@ -166,13 +170,14 @@
         "" | "s" => 1.0,
         "m" => 60.0,
         "h" => 3600.0,
-        _ => return Err("write a number and ms, s, m or h".to_owned()),
+        _ => return Err("expected a number and a unit (ms, s, m or h), such as 30s".to_owned()),
     };
-    let number: f64 = number.parse().map_err(|_| "write a number and ms, s, m or h".to_owned())?;
+    let number: f64 =
+        number.parse().map_err(|_| "expected a number and a unit (ms, s, m or h), such as 30s".to_owned())?;
     if number > 0.0 && number.is_finite() {
         Ok(number * factor)
     } else {
-        Err("write more than nothing".to_owned())
+        Err("the time must be above 0".to_owned())
     }
 }
 
@@ -186,15 +191,15 @@
             println!("{}", schema());
             Exit::Done
         }
-        Some(Verb::Config { at, deed }) => remote::carry_out(&at, deed),
-        Some(Verb::Maintenance { at, deed }) => maintenance::carry_out(&at, deed),
-        Some(Verb::Lab { experiment }) => lab::carry_out(experiment),
+        Some(Verb::Config { connection, command }) => remote::run(&connection, command),
+        Some(Verb::Maintenance { connection, command }) => maintenance::run(&connection, command),
+        Some(Verb::Lab { experiment }) => lab::run(experiment),
     };
     ExitCode::from(exit as u8)
 }
 
 fn run(options: Options) -> Exit {
-    // Before anything else: a signal that is not handled yet would end the process.
+    // The handlers come first: a signal without a handler would end the process.
     let signals = Signals::take();
     log::start();
     let signals = signals.map_err(|problem| format!("signals: {problem}"));
@@ -231,10 +236,10 @@
     let problems = checked.err().unwrap_or_default();
     match output {
         Output::Json => {
-            let told = serde_json::json!({"problems": problems.list(), "more": problems.omitted()});
-            println!("{told}");
+            let report = serde_json::json!({"problems": problems.list(), "more": problems.omitted()});
+            println!("{report}");
         }
-        Output::Text if problems.is_empty() => println!("{}: good", file.display()),
+        Output::Text if problems.is_empty() => println!("{}: no problems", file.display()),
         Output::Text => println!("{problems}"),
     }
     if problems.is_empty() {
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -1,25 +1,28 @@
-//! `config`: speaks to a running process over its administration API.
+//! `cedarwharf config ...`: calls the administration API of a running process.
 
-use super::{At, Deed, Exit, Output, Trying};
+use super::{Command, Connection, Exit, Output, TrialOptions};
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
 
-struct Remote<'a> {
-    at: &'a At,
+/// Client of the administration API of one process.
+struct AdminClient<'a> {
+    connection: &'a Connection,
     agent: ureq::Agent,
     token: String,
 }
 
-/// Status and body.
-type Told = Result<(u16, Value), Exit>;
+/// Status and JSON body of an answer.
+type ApiResult = Result<(u16, Value), Exit>;
 
-pub fn carry_out(at: &At, deed: Deed) -> Exit {
-    let token = match &at.token_file {
+/// Carries out one command and prints its result.
+pub fn run(connection: &Connection, command: Command) -> Exit {
+    let token = match &connection.token_file {
         Some(path) => {
             std::fs::read_to_string(path).map_err(|problem| format!("{}: {problem}", path.display()))
         }
-        None => std::env::var("CEDARWHARF_TOKEN").map_err(|_| "no token: name --token-file".to_owned()),
+        None => std::env::var("CEDARWHARF_TOKEN")
+            .map_err(|_| "no token: give --token-file or set CEDARWHARF_TOKEN".to_owned()),
     };
     let token = match token {
         Ok(token) => token.trim_end().to_owned(),
@@ -30,8 +33,8 @@
         .proxy(None)
         .timeout_global(Some(Duration::from_secs(30)))
         .build();
-    let remote = Remote { at, agent: config.into(), token };
-    remote.deed(deed).unwrap_or_else(|exit| exit)
+    let client = AdminClient { connection, agent: config.into(), token };
+    client.execute(command).unwrap_or_else(|exit| exit)
 }
 
 fn fail(exit: Exit, problem: &str) -> Exit {
@@ -44,56 +47,58 @@
         .map_err(|problem| fail(Exit::Problems, &format!("{}: {problem}", path.display())))
 }
 
-impl Remote<'_> {
-    fn deed(&self, deed: Deed) -> Result<Exit, Exit> {
-        let file = |path: Option<&Path>| path.map(read).transpose().map(Option::unwrap_or_default);
-        let (status, told) = match &deed {
-            Deed::Show => self.get("")?,
-            Deed::History => self.get("/versions")?,
-            Deed::Diff { file: path } => self.post("/diff", None, &file(path.as_deref())?)?,
-            Deed::Stage { file } => self.post("/stage", None, &read(file)?)?,
-            Deed::Confirm => self.post("/confirm", None, "")?,
-            Deed::Undo { to, why } => {
+impl AdminClient<'_> {
+    fn execute(&self, command: Command) -> Result<Exit, Exit> {
+        // An empty document stands for the staged candidate.
+        let read_document = |path: Option<&Path>| path.map(read).transpose().map(Option::unwrap_or_default);
+        let (status, body) = match &command {
+            Command::Show => self.get("")?,
+            Command::History => self.get("/versions")?,
+            Command::Diff { file } => self.post("/diff", None, &read_document(file.as_deref())?)?,
+            Command::Stage { file } => self.post("/stage", None, &read(file)?)?,
+            Command::Confirm => self.post("/confirm", None, "")?,
+            Command::Undo { to, why } => {
                 let to = to.map(|to| format!("&to={to}")).unwrap_or_default();
-                self.post(&format!("/undo?why={}{to}", quoted(why)), None, "")?
+                self.post(&format!("/undo?why={}{to}", percent_encode(why)), None, "")?
             }
-            Deed::Apply { file: path, from, why, trying } => {
-                let document = file(path.as_deref())?;
+            Command::Apply { file, from, why, trial } => {
+                let document = read_document(file.as_deref())?;
                 let from = match from {
                     Some(from) => *from,
                     None => self.get("")?.1["number"].as_u64().unwrap_or_default(),
                 };
-                self.post(&format!("/apply?why={}{}", quoted(why), query(trying)), Some(from), &document)?
+                let path = format!("/apply?why={}{}", percent_encode(why), trial_query(trial));
+                self.post(&path, Some(from), &document)?
             }
         };
-        Ok(self.print(&deed, status, &told))
+        Ok(self.print(&command, status, &body))
     }
 
-    fn get(&self, path: &str) -> Told {
-        let url = format!("http://{}/v1/config{path}", self.at.admin);
+    fn get(&self, path: &str) -> ApiResult {
+        let url = format!("http://{}/v1/config{path}", self.connection.admin);
         let request = self.agent.get(url).header("Authorization", format!("Bearer {}", self.token));
-        self.heard(request.call())
+        self.read_answer(request.call())
     }
 
-    fn post(&self, path: &str, from: Option<u64>, body: &str) -> Told {
-        let url = format!("http://{}/v1/config{path}", self.at.admin);
+    fn post(&self, path: &str, from: Option<u64>, body: &str) -> ApiResult {
+        let url = format!("http://{}/v1/config{path}", self.connection.admin);
         let mut request = self.agent.post(url).header("Authorization", format!("Bearer {}", self.token));
         if let Some(from) = from {
             request = request.header("If-Match", format!("\"{from}\""));
         }
-        self.heard(request.send(body))
+        self.read_answer(request.send(body))
     }
 
-    fn heard(&self, answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Told {
+    fn read_answer(&self, answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> ApiResult {
         let unreachable = |problem: ureq::Error| {
-            fail(Exit::Unreachable, &format!("no answer from {}: {problem}", self.at.admin))
+            fail(Exit::Unreachable, &format!("no answer from {}: {problem}", self.connection.admin))
         };
         let mut answer = answer.map_err(unreachable)?;
         let text = answer.body_mut().read_to_string().map_err(unreachable)?;
         Ok((answer.status().as_u16(), serde_json::from_str(&text).unwrap_or(Value::Null)))
     }
 
-    fn print(&self, deed: &Deed, status: u16, told: &Value) -> Exit {
+    fn print(&self, command: &Command, status: u16, body: &Value) -> Exit {
         let exit = match status {
             200..300 => Exit::Done,
             401 | 403 => Exit::Forbidden,
@@ -101,71 +106,80 @@
             503 => Exit::NotNow,
             _ => Exit::Problems,
         };
-        if self.at.output == Output::Json {
-            println!("{told}");
+        if self.connection.output == Output::Json {
+            println!("{body}");
         } else if exit == Exit::Done {
-            print!("{}", text(deed, told));
+            print!("{}", text_output(command, body));
         } else {
-            let what = told["detail"].as_str().or(told["title"].as_str());
-            eprintln!("cedarwharf: {}", what.unwrap_or("refused"));
-            eprintln!("status {status}; version {} is in force", told["version"]);
+            let problem = body["detail"].as_str().or(body["title"].as_str());
+            eprintln!("cedarwharf: {}", problem.unwrap_or("the request was rejected"));
+            eprintln!("status {status}; version {} is in force", body["version"]);
         }
         exit
     }
 }
 
-fn quoted(text: &str) -> String {
+fn percent_encode(text: &str) -> String {
     percent_encoding::utf8_percent_encode(text, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
 
-fn query(trying: &Trying) -> String {
+/// The options that are set, as parameters of a query.
+fn trial_query(trial: &TrialOptions) -> String {
     let pairs = [
-        ("confirm_within_s", trying.confirm_within),
-        ("probation_s", trying.probation),
-        ("turn_downs", trying.turn_downs),
-        ("turn_ms", trying.turn_ms),
+        ("confirm_within_s", trial.confirm_within),
+        ("probation_s", trial.probation),
+        ("turn_downs", trial.turn_downs),
+        ("turn_ms", trial.turn_ms),
     ];
     pairs.iter().filter_map(|(key, value)| value.map(|value| format!("&{key}={value}"))).collect()
 }
 
-fn plain(value: &Value) -> String {
+/// The text of a JSON string, or any other value as JSON.
+fn display_value(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn line(version: &Value) -> String {
+/// One line of text that describes a version.
+fn version_line(version: &Value) -> String {
     let trial = if version["on_trial"] == true { ", on trial" } else { "" };
-    let why = plain(&version["why"]);
+    let why = display_value(&version["why"]);
     format!(
         "{} {} by {}{trial}: {why}\n",
         version["number"],
-        plain(&version["digest"]),
-        plain(&version["who"])
+        display_value(&version["digest"]),
+        display_value(&version["who"])
     )
 }
 
-fn text(deed: &Deed, told: &Value) -> String {
-    let differences = |told: &Value| -> String {
-        let list = told["differences"].as_array().cloned().unwrap_or_default();
+fn text_output(command: &Command, body: &Value) -> String {
+    let differences = |body: &Value| -> String {
+        let list = body["differences"].as_array().cloned().unwrap_or_default();
         if list.is_empty() {
-            return "nothing differs\n".to_owned();
+            return "no differences\n".to_owned();
         }
-        let line = |one: &Value| {
-            let side = |key: &str| if one[key].is_null() { "(none)".to_owned() } else { plain(&one[key]) };
-            format!("{}: {} -> {}\n", plain(&one["path"]), side("from"), side("to"))
+        let line = |difference: &Value| {
+            let side = |key: &str| {
+                if difference[key].is_null() {
+                    "(none)".to_owned()
+                } else {
+                    display_value(&difference[key])
+                }
+            };
+            format!("{}: {} -> {}\n", display_value(&difference["path"]), side("from"), side("to"))
         };
         list.iter().map(line).collect()
     };
-    match deed {
-        Deed::Diff { .. } => differences(told),
-        Deed::History => told.as_array().into_iter().flatten().map(line).collect(),
-        Deed::Show => {
-            let values = told["values"].as_object().cloned().unwrap_or_default();
+    match command {
+        Command::Diff { .. } => differences(body),
+        Command::History => body.as_array().into_iter().flatten().map(version_line).collect(),
+        Command::Show => {
+            let values = body["values"].as_object().cloned().unwrap_or_default();
             let values: String =
-                values.iter().map(|(path, value)| format!("{path}: {}\n", plain(value))).collect();
-            line(told) + &values
+                values.iter().map(|(path, value)| format!("{path}: {}\n", display_value(value))).collect();
+            version_line(body) + &values
         }
-        Deed::Apply { .. } => format!("in force: {}{}", line(told), differences(told)),
-        Deed::Stage { .. } => format!("staged; in force: {}", line(told)),
-        _ => format!("in force: {}", line(told)),
+        Command::Apply { .. } => format!("in force: {}{}", version_line(body), differences(body)),
+        Command::Stage { .. } => format!("staged; in force: {}", version_line(body)),
+        _ => format!("in force: {}", version_line(body)),
     }
 }
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -2,7 +2,7 @@
 use clap::CommandFactory;
 
 #[test]
-fn the_command_line_is_sound_and_runs_without_a_verb() {
+fn command_line_is_valid_and_runs_the_forwarder_without_a_verb() {
     Cli::command().debug_assert();
     let plain = Cli::try_parse_from(["cedarwharf"]).unwrap();
     assert!(plain.verb.is_none() && plain.file.is_none());
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn durations_have_units() {
+fn durations_with_units_are_parsed_and_malformed_ones_rejected() {
     assert_eq!(duration("30s"), Ok(30.0));
     assert_eq!(duration("1.5m"), Ok(90.0));
     assert_eq!(duration("250ms"), Ok(0.25));
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, see `cli`.
+//! The entry point of the program; `cli` has its command line.
 
 mod cli;
 
