--- a/src/bin/cedarwharf-wirehost/main.rs
+++ b/src/bin/cedarwharf-wirehost/main.rs
@@ -1,4 +1,5 @@
-//! Speaks the bench's wire on standard input and output, one [`cedarwharf::Dispatcher`] an instance.
+//! The simulator's adapter: reads batches of events in the simulator's binary protocol from standard input, and
+//! writes the actions of one [`cedarwharf::Dispatcher`] per instance to standard output.
 
 mod link;
 mod wire;
--- a/src/cli/lab.rs
+++ b/src/cli/lab.rs
@@ -10,9 +10,9 @@
 pub enum Experiment {
     /// Membership: time until a crash is detected, members wrongly declared dead, network traffic
     Membership(MembershipArgs),
-    /// Cold start: calls to the list service, first connections at endpoints, time until each forwarder is ready
+    /// Cold start: calls to the list service, first connections at endpoints, time until forwarders are ready
     ColdStart(ColdStartArgs),
-    /// Maintenance: forwarders out at once and duration of a plan, while forwarders crash, stall or are partitioned
+    /// Maintenance: forwarders out at once and duration of a plan, under crashes, stalls and partitions
     Maintenance(MaintenanceArgs),
 }
 
@@ -181,7 +181,7 @@
     /// K:MS: K members are stopped for MS milliseconds, one second after the warm-up
     #[arg(long, value_parser = parse_stall)]
     stall: Option<(usize, f64)>,
-    /// A/B:SECONDS: the first A members are partitioned from the next B for SECONDS, from the end of the warm-up
+    /// A/B:SECONDS: the first A members are cut off from the next B for SECONDS after the warm-up
     #[arg(long, value_parser = parse_partition)]
     partition: Option<(usize, usize, f64)>,
     /// Seconds for the fleet to join before faults begin
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -51,7 +51,7 @@
     Run {
         /// The operators' file (YAML)
         file: Option<PathBuf>,
-        /// Use the file even if the state folder has a version; by default, a start uses the last version in force
+        /// Use the file even if a version is stored; by default, a start uses the last version in force
         #[arg(long)]
         from_file: bool,
     },
@@ -59,7 +59,7 @@
     Check {
         /// The operators' file (YAML)
         file: PathBuf,
-        /// The platform's file that the operators' file overrides; without it, only the operators' file is checked
+        /// The platform's file, which FILE overrides; without it, only FILE itself is checked
         #[arg(long, env = "PROXY_CONFIG")]
         platform: Option<PathBuf>,
         /// Format of the output
