--- a/src/lab/cold_start.rs
+++ b/src/lab/cold_start.rs
@@ -139,12 +139,12 @@
             .map(|one| peak(&connects(one), 1_000_000))
             .max()
             .unwrap_or(0),
-        endpoint_connections_peak: world.endpoints.iter().map(|one| one.most_open).max().unwrap_or(0),
+        endpoint_connections_peak: world.endpoints.iter().map(|one| one.peak_open).max().unwrap_or(0),
         first_calls_peak_per_s: first(1_000_000),
         first_calls_peak_per_100ms: first(100_000),
         handshakes_per_message: part(handshakes),
-        tables_full: world.endpoints.iter().map(|one| one.turned_away).sum(),
-        calls_refused: world.endpoints.iter().map(|one| one.refused).sum(),
+        tables_full: world.endpoints.iter().map(|one| one.connections_rejected).sum(),
+        calls_refused: world.endpoints.iter().map(|one| one.calls_rejected).sum(),
         ready_p50_s: share(0.5),
         ready_p99_s: share(0.99),
         never_ready: times.iter().filter(|ready| ready.is_none()).count(),
@@ -230,7 +230,7 @@
             from = world.messages.len();
             world.endpoints.iter_mut().take(plan.out).for_each(|one| one.out = true);
             for one in &mut world.endpoints {
-                (one.most_open, one.turned_away, one.refused) = (0, 0, 0);
+                (one.peak_open, one.connections_rejected, one.calls_rejected) = (0, 0, 0);
             }
             for (&index, &at) in starts.iter().filter(|_| running) {
                 if let Some(one) = fleet[index].take() {
--- a/src/lab/endpoints.rs
+++ b/src/lab/endpoints.rs
@@ -1,109 +1,111 @@
-//! Simulated real servers that all forwarders of a fleet share: each takes so many calls a second (a bucket of half a second; a
-//! refused call uses it up as a served one does) and holds so many connections; it tells its limit with each answer.
+//! Simulated endpoints that all forwarders of a fleet share. Each has a limit of calls per second (a token bucket of half a
+//! second, which rejected calls use up as served ones do) and a limit of open connections. Each answer reports the
+//! limit of calls.
 
 use crate::report::Report;
 use crate::{AttemptOutcome, Micros};
 use std::collections::BTreeMap;
 
-/// How long a call that is served takes.
-const SERVICE: Micros = Micros(30_000);
-/// An answer that is there at once.
-const AT_ONCE: Micros = Micros(1_000);
+/// Duration of a served call.
+const SERVICE_TIME: Micros = Micros(30_000);
+/// Time until a call or connection is rejected.
+const REJECTION_TIME: Micros = Micros(1_000);
 
-/// What an endpoint does with a call.
+/// How an endpoint answers a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer {
-    /// What its sender hears...
+    /// The attempt outcome that the forwarder sees.
     pub outcome: AttemptOutcome,
-    /// ...after so long.
+    /// Time from the call to the answer.
     pub after: Micros,
-    /// What the answer tells of the limit.
+    /// The report of the limit in the answer.
     pub report: Option<Report>,
-    /// The call ran.
+    /// Whether the endpoint ran the call.
     pub ran: bool,
 }
 
-/// One of them.
+/// One simulated endpoint.
 pub struct Endpoint {
-    limit: f64,
-    most: usize,
+    calls_per_s: f64,
+    max_connections: usize,
     tokens: f64,
     filled_at: Micros,
-    /// Connections that each forwarder holds here.
-    held: BTreeMap<usize, usize>,
+    /// Open connections of each forwarder.
+    connections: BTreeMap<usize, usize>,
     open: usize,
-    /// Nobody listens.
+    /// The endpoint is down: connection attempts fail.
     pub out: bool,
-    /// New connections, when they came.
+    /// Times of new connections.
     pub connects: Vec<Micros>,
-    /// The most that were open at once.
-    pub most_open: usize,
-    /// Connections that found the table full, and calls above the limit.
-    pub turned_away: usize,
+    /// Largest number of connections open at once.
+    pub peak_open: usize,
+    /// Connections rejected because the table was full, and calls rejected above the limit.
+    pub connections_rejected: usize,
     #[allow(missing_docs)]
-    pub refused: usize,
+    pub calls_rejected: usize,
     #[allow(missing_docs)]
     pub served: usize,
 }
 
 impl Endpoint {
-    /// With so many calls a second, and so many connections.
-    pub fn new(limit: f64, most: usize) -> Endpoint {
+    /// Creates an endpoint with its limits.
+    pub fn new(calls_per_s: f64, max_connections: usize) -> Endpoint {
         Endpoint {
-            limit,
-            most,
-            tokens: limit / 2.0,
+            calls_per_s,
+            max_connections,
+            tokens: calls_per_s / 2.0,
             filled_at: Micros(0),
-            held: BTreeMap::new(),
+            connections: BTreeMap::new(),
             open: 0,
             out: false,
             connects: Vec::new(),
-            most_open: 0,
-            turned_away: 0,
-            refused: 0,
+            peak_open: 0,
+            connections_rejected: 0,
+            calls_rejected: 0,
             served: 0,
         }
     }
 
-    /// A call comes, on a new connection or on one that is held.
-    pub fn call(&mut self, now: Micros, by: usize, new: bool) -> Answer {
+    /// Answers a call of a forwarder, on a new or an open connection.
+    pub fn call(&mut self, now: Micros, forwarder: usize, new_connection: bool) -> Answer {
         let answer = |outcome, after, report, ran| Answer { outcome, after, report, ran };
-        if new {
+        if new_connection {
             self.connects.push(now);
             if self.out {
-                return answer(AttemptOutcome::ConnectFailed, AT_ONCE, None, false);
+                return answer(AttemptOutcome::ConnectFailed, REJECTION_TIME, None, false);
             }
-            if self.open >= self.most {
-                self.turned_away += 1;
-                return answer(AttemptOutcome::ConnectionLimitReached, AT_ONCE, None, false);
+            if self.open >= self.max_connections {
+                self.connections_rejected += 1;
+                return answer(AttemptOutcome::ConnectionLimitReached, REJECTION_TIME, None, false);
             }
-            *self.held.entry(by).or_default() += 1;
+            *self.connections.entry(forwarder).or_default() += 1;
             self.open += 1;
-            self.most_open = self.most_open.max(self.open);
+            self.peak_open = self.peak_open.max(self.open);
         }
-        let filled = self.tokens + self.limit * now.minus(self.filled_at).0 as f64 / 1e6;
+        let filled = self.tokens + self.calls_per_s * now.minus(self.filled_at).0 as f64 / 1e6;
         self.filled_at = now;
-        self.tokens = (filled.min(self.limit / 2.0) - 1.0).max(-0.2 * self.limit);
-        let report = Report::new((self.tokens / (self.limit / 2.0)).clamp(0.0, 1.0), self.limit);
+        self.tokens = (filled.min(self.calls_per_s / 2.0) - 1.0).max(-0.2 * self.calls_per_s);
+        let unused_share = (self.tokens / (self.calls_per_s / 2.0)).clamp(0.0, 1.0);
+        let report = Report::new(unused_share, self.calls_per_s);
         if self.tokens < 0.0 {
-            self.refused += 1;
-            return answer(AttemptOutcome::Rejected { retry_after: None }, AT_ONCE, report, false);
+            self.calls_rejected += 1;
+            return answer(AttemptOutcome::Rejected { retry_after: None }, REJECTION_TIME, report, false);
         }
         self.served += 1;
-        answer(AttemptOutcome::Delivered, SERVICE, report, true)
+        answer(AttemptOutcome::Delivered, SERVICE_TIME, report, true)
     }
 
-    /// A forwarder closes so many of its connections here.
-    pub fn close(&mut self, by: usize, count: usize) {
-        let Some(held) = self.held.get_mut(&by) else { return };
-        let closed = count.min(*held);
-        *held -= closed;
+    /// Closes up to `count` connections of a forwarder.
+    pub fn close(&mut self, forwarder: usize, count: usize) {
+        let Some(connections) = self.connections.get_mut(&forwarder) else { return };
+        let closed = count.min(*connections);
+        *connections -= closed;
         self.open -= closed;
     }
 
-    /// A forwarder has died: the system closes what it held.
-    pub fn gone(&mut self, by: usize) {
-        self.open -= self.held.remove(&by).unwrap_or(0);
+    /// Closes all connections of a forwarder that died, as the operating system does.
+    pub fn close_all(&mut self, forwarder: usize) {
+        self.open -= self.connections.remove(&forwarder).unwrap_or(0);
     }
 }
 
--- a/src/lab/forwarder.rs
+++ b/src/lab/forwarder.rs
@@ -369,7 +369,7 @@
                 message.may_have_run.get_or_insert((out.sent_at, EndpointId(out.to as u64)));
             }
         }
-        world.endpoints.iter_mut().for_each(|endpoint| endpoint.gone(self.index));
+        world.endpoints.iter_mut().for_each(|endpoint| endpoint.close_all(self.index));
     }
 
     /// A datagram of a member.
--- a/src/lab/membership.rs
+++ b/src/lab/membership.rs
@@ -1,5 +1,6 @@
-//! `cedarwharf lab membership`: a fleet of membership cores on the simulated network, with crashes, stalls and a cut,
-//! and what came of it: how soon a crash was known to all, who was wrongly declared dead, what it cost.
+//! `cedarwharf lab membership`: runs a fleet of membership cores on the simulated network, with crashes, stalls and a
+//! partition. Reports the time until every member knows of a crash, the members wrongly declared dead, and the
+//! network traffic.
 
 use super::network::{Due, Fault, Network};
 use crate::membership::{Identity, Node, Output, Settings, State};
@@ -13,15 +14,15 @@
 pub struct Plan {
     /// Members, all started within the first second.
     pub members: usize,
-    /// Of every chance in the run.
+    /// Seed of all random choices.
     pub seed: u64,
     #[allow(missing_docs)]
     pub fault: Fault,
     /// Members that crash at the end of the warm-up.
     pub crash: usize,
-    /// Members stopped for so long, a second after the warm-up.
+    /// Number of members that are stopped one second after the warm-up, and for how long.
     pub stall: Option<(usize, Micros)>,
-    /// Members in each group of a cut that begins at the end of the warm-up, and how long it stands.
+    /// Sizes of the two groups of a partition that begins at the end of the warm-up, and its duration.
     pub partition: Option<(usize, usize, Micros)>,
     /// Time for the fleet to join before faults begin.
     pub warmup: Micros,
@@ -31,7 +32,7 @@
     pub settings: Settings,
 }
 
-/// What a run shows; times in seconds, `null` where it never happened.
+/// Result of a run. Times are in seconds; `null` if the event never happened.
 #[derive(Clone, Debug, Serialize)]
 #[allow(missing_docs)]
 pub struct Report {
@@ -41,22 +42,23 @@
     pub delay_ms: f64,
     pub probe_interval_ms: f64,
     pub duration_s: f64,
-    /// From the start until every member held every other live (alive or suspect), none dead.
+    /// Time from the start until every member lists every other member as alive or suspect, and none as dead.
     pub joined_s: Option<f64>,
-    /// From a crash until every live member held it dead: median and 99th percentile over the crashed.
+    /// Time from a crash until every live member lists the crashed member as dead: median and 99th percentile.
     pub detected_p50_s: Option<f64>,
     pub detected_p99_s: Option<f64>,
-    /// From a crash until the first member suspected it.
+    /// Time from a crash until the first member suspects the crashed member.
     pub first_suspected_p50_s: Option<f64>,
-    /// Crashed members not known dead by all at the end.
+    /// Crashed members that some live member doesn't list as dead at the end.
     pub undetected: usize,
-    /// Members that did not crash, declared dead by a member on their side of any cut.
+    /// Members that did not crash, but were declared dead by a member on their side of the partition, if any.
     pub false_dead: usize,
-    /// Declared dead across a cut, from its start until views converged after it (expected, and not false).
+    /// Members declared dead across the partition, from its start until the views have converged after it. This
+    /// is expected and doesn't count as false.
     pub partition_dead: usize,
-    /// After a cut heals, until every live member holds every other live, none dead.
+    /// Time from the end of the partition until every live member lists every other as live, and none as dead.
     pub converged_s: Option<f64>,
-    /// Pairs (holder, member) where a live member is held dead or suspect at the end.
+    /// Pairs (observer, member) where a live observer lists a live member as dead or suspect at the end.
     pub wrongly_held_at_end: usize,
     /// Datagrams and bytes sent per member per second, after the warm-up.
     pub packets_per_member_s: f64,
@@ -85,8 +87,8 @@
     if sorted.is_empty() {
         return None;
     }
-    let at = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len()) - 1;
-    Some(seconds(sorted[at]))
+    let rank = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len()) - 1;
+    Some(seconds(sorted[rank]))
 }
 
 /// Runs the plan on simulated time.
@@ -114,24 +116,25 @@
         net.stop(i, start);
         net.wake(i, node.next_wake().max(start));
     }
-    // Who is struck: drawn, never the first seed.
-    let mut others: Vec<usize> = (1..n).collect();
-    rng.shuffle(&mut others);
-    let crashed: Vec<usize> = others.iter().copied().take(plan.crash.min(n - 1)).collect();
+    // The members that crash or stall are chosen at random, never the first seed member.
+    let mut candidates: Vec<usize> = (1..n).collect();
+    rng.shuffle(&mut candidates);
+    let crashed: Vec<usize> = candidates.iter().copied().take(plan.crash.min(n - 1)).collect();
     let stalled: Vec<usize> = match plan.stall {
-        Some((count, _)) => others.iter().copied().skip(crashed.len()).take(count).collect(),
+        Some((count, _)) => candidates.iter().copied().skip(crashed.len()).take(count).collect(),
         None => Vec::new(),
     };
     let mut is_crashed = vec![false; n];
-    for &c in &crashed {
-        is_crashed[c] = true;
+    for &member in &crashed {
+        is_crashed[member] = true;
     }
     let groups: Option<Vec<u8>> = plan.partition.map(|(a, _, _)| (0..n).map(|i| u8::from(i >= a)).collect());
-    let cut_from = plan.warmup;
-    let cut_until = plan.partition.map(|(_, _, length)| plan.warmup.plus(length));
+    let partition_from = plan.warmup;
+    let partition_until = plan.partition.map(|(_, _, length)| plan.warmup.plus(length));
 
     let crash_at = plan.warmup;
-    let mut held_dead: HashSet<(usize, usize)> = HashSet::new();
+    // Pairs (observer, member) where the observer has declared the member dead.
+    let mut declared_dead: HashSet<(usize, usize)> = HashSet::new();
     let mut dead_count = vec![0usize; n];
     let mut detected: Vec<Option<Micros>> = vec![None; n];
     let mut first_suspected: Vec<Option<Micros>> = vec![None; n];
@@ -139,8 +142,8 @@
     let mut partition_dead: HashSet<usize> = HashSet::new();
     let live_observers = n - crashed.len();
     let (mut joined, mut converged) = (None, None);
-    let (mut crashes_done, mut stalls_done, mut cut_on) = (false, false, false);
-    let (mut sent_after_warmup, mut bytes_after_warmup, mut bytes) = (0u64, 0u64, 0u64);
+    let (mut crashes_injected, mut stalls_injected, mut partitioned) = (false, false, false);
+    let (mut sent_before_faults, mut bytes_before_faults, mut bytes) = (0u64, 0u64, 0u64);
     let mut max_health = 0;
     let step = Micros::from_ms(100.0);
     let mut now = Micros(0);
@@ -175,7 +178,7 @@
                         {
                             first_suspected[target] = Some(at.minus(crash_at));
                         }
-                        if change.to != State::Dead || !held_dead.insert((process, target)) {
+                        if change.to != State::Dead || !declared_dead.insert((process, target)) {
                             continue;
                         }
                         if is_crashed[target] && at >= crash_at {
@@ -183,8 +186,8 @@
                             if dead_count[target] == live_observers {
                                 detected[target] = Some(at.minus(crash_at));
                             }
-                        } else if (cut_on
-                            || cut_until.is_some_and(|until| at >= until && converged.is_none()))
+                        } else if (partitioned
+                            || partition_until.is_some_and(|until| at >= until && converged.is_none()))
                             && groups.as_ref().is_some_and(|g| g[process] != g[target])
                         {
                             partition_dead.insert(target);
@@ -198,55 +201,56 @@
             max_health = max_health.max(nodes[process].health());
             net.wake(process, nodes[process].next_wake());
         }
-        if !crashes_done && now >= crash_at {
-            crashes_done = true;
-            for &c in &crashed {
-                net.crash(c);
+        if !crashes_injected && now >= crash_at {
+            crashes_injected = true;
+            for &member in &crashed {
+                net.crash(member);
             }
-            sent_after_warmup = net.sent;
-            bytes_after_warmup = bytes;
+            sent_before_faults = net.sent;
+            bytes_before_faults = bytes;
         }
         if let Some((_, length)) = plan.stall {
-            if !stalls_done && now >= crash_at.plus(Micros::from_ms(1_000.0)) {
-                stalls_done = true;
-                for &s in &stalled {
-                    net.stop(s, now.plus(length));
+            if !stalls_injected && now >= crash_at.plus(Micros::from_ms(1_000.0)) {
+                stalls_injected = true;
+                for &member in &stalled {
+                    net.stop(member, now.plus(length));
                 }
             }
         }
-        if let (Some(groups), Some(until)) = (&groups, cut_until) {
-            if !cut_on && now >= cut_from && now < until && converged.is_none() {
-                cut_on = true;
+        if let (Some(groups), Some(until)) = (&groups, partition_until) {
+            if !partitioned && now >= partition_from && now < until && converged.is_none() {
+                partitioned = true;
                 net.set_groups(Some(groups.clone()));
-            } else if cut_on && now >= until {
-                cut_on = false;
+            } else if partitioned && now >= until {
+                partitioned = false;
                 net.set_groups(None);
             }
         }
         let live = live_count(&net, n);
-        let whole = || {
+        let all_views_complete = || {
             (0..n).filter(|&i| !net.crashed(i)).all(|i| {
                 let view = nodes[i].counts();
                 view.live() == live && view.dead == 0
             })
         };
-        if joined.is_none() && now <= crash_at && whole() {
+        if joined.is_none() && now <= crash_at && all_views_complete() {
             joined = Some(now);
         }
-        if let Some(until) = cut_until {
-            if converged.is_none() && now > until && whole() {
+        if let Some(until) = partition_until {
+            if converged.is_none() && now > until && all_views_complete() {
                 converged = Some(now.minus(until));
             }
         }
     }
-    let mut times: Vec<Micros> = crashed.iter().filter_map(|&c| detected[c]).collect();
-    times.sort();
-    let mut firsts: Vec<Micros> = crashed.iter().filter_map(|&c| first_suspected[c]).collect();
-    firsts.sort();
+    let mut detection_times: Vec<Micros> = crashed.iter().filter_map(|&member| detected[member]).collect();
+    detection_times.sort();
+    let mut suspicion_times: Vec<Micros> =
+        crashed.iter().filter_map(|&member| first_suspected[member]).collect();
+    suspicion_times.sort();
     let mut wrongly_held = 0;
-    for holder in (0..n).filter(|&i| !net.crashed(i)) {
-        for member in (0..n).filter(|&m| m != holder && !net.crashed(m)) {
-            let state = nodes[holder].state_of(&format!("m{member}")).map(|(_, _, state)| state);
+    for observer in (0..n).filter(|&i| !net.crashed(i)) {
+        for member in (0..n).filter(|&m| m != observer && !net.crashed(m)) {
+            let state = nodes[observer].state_of(&format!("m{member}")).map(|(_, _, state)| state);
             if !matches!(state, Some(State::Alive)) {
                 wrongly_held += 1;
             }
@@ -254,14 +258,15 @@
     }
     let stats = nodes.iter().map(|node| node.stats().clone());
     let (mut suspicions, mut refutations, mut refuted_self, mut stalls) = (0, 0, 0, 0);
-    for s in stats {
-        suspicions += s.suspicions;
-        refutations += s.refutations;
-        refuted_self += s.refuted_self;
-        stalls += s.stalls;
+    for node_stats in stats {
+        suspicions += node_stats.suspicions;
+        refutations += node_stats.refutations;
+        refuted_self += node_stats.refuted_self;
+        stalls += node_stats.stalls;
     }
-    let after = plan.duration.minus(plan.warmup).0.max(1) as f64 / 1e6;
-    let per = |count: u64| ((count as f64 / n as f64 / after) * 100.0).round() / 100.0;
+    let seconds_after_warmup = plan.duration.minus(plan.warmup).0.max(1) as f64 / 1e6;
+    let per_member_second =
+        |count: u64| ((count as f64 / n as f64 / seconds_after_warmup) * 100.0).round() / 100.0;
     Report {
         members: n,
         seed: plan.seed,
@@ -270,16 +275,16 @@
         probe_interval_ms: plan.settings.probe_interval.as_ms(),
         duration_s: seconds(plan.duration),
         joined_s: joined.map(seconds),
-        detected_p50_s: percentile(&times, 0.5),
-        detected_p99_s: percentile(&times, 0.99),
-        first_suspected_p50_s: percentile(&firsts, 0.5),
-        undetected: crashed.len() - times.len(),
+        detected_p50_s: percentile(&detection_times, 0.5),
+        detected_p99_s: percentile(&detection_times, 0.99),
+        first_suspected_p50_s: percentile(&suspicion_times, 0.5),
+        undetected: crashed.len() - detection_times.len(),
         false_dead: false_dead.len(),
         partition_dead: partition_dead.len(),
         converged_s: converged.map(seconds),
         wrongly_held_at_end: wrongly_held,
-        packets_per_member_s: per(net.sent - sent_after_warmup),
-        bytes_per_member_s: per(bytes - bytes_after_warmup),
+        packets_per_member_s: per_member_second(net.sent - sent_before_faults),
+        bytes_per_member_s: per_member_second(bytes - bytes_before_faults),
         suspicions,
         refutations,
         refuted_self,
--- a/src/lab/mod.rs
+++ b/src/lab/mod.rs
@@ -1,6 +1,6 @@
-//! The project's own emulator of a fleet: simulated time and a seeded simulated network, driving the same sans-IO
-//! cores as the program, hundreds to thousands of processes in one. Not a bench: an experiment tool, whose runs are
-//! the tables of the design notes. Same seed, same output.
+//! An emulator of a fleet for experiments. It runs the sans-IO cores of hundreds to thousands of forwarders in one
+//! process, on simulated time and a simulated network. The same seed gives the same output. The tables of the design
+//! notes come from its runs; it is not a benchmark.
 
 pub mod cold_start;
 mod endpoints;
--- a/src/lab/network.rs
+++ b/src/lab/network.rs
@@ -1,12 +1,12 @@
-//! A simulated network of datagrams between processes numbered 0 to n - 1: loss, delay with jitter (so reordering),
-//! cuts between groups, and processes stopped for a while (what arrives meanwhile waits in their socket, as with
-//! SIGSTOP) or for good.
+//! A simulated datagram network between processes numbered 0 to n - 1. It loses datagrams, delays them with jitter (and
+//! so reorders them) and is partitioned into groups. A process can be stopped for a while, as with SIGSTOP (datagrams
+//! wait in its socket meanwhile), or crash.
 
 use crate::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What the network does to datagrams.
+/// Loss and delay of datagrams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     /// Share of datagrams lost, 0 to 1.
@@ -15,7 +15,7 @@
     pub delay: Micros,
 }
 
-/// Something due: a datagram to hand over, or a process to wake.
+/// A due event: a datagram to deliver, or a process to wake.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     /// A datagram from `from` for `to`.
@@ -24,22 +24,24 @@
     Wake { process: usize },
 }
 
-/// The network and the clock.
+/// The simulated network and clock.
 pub struct Network {
     fault: Fault,
     rng: fastrand::Rng,
-    /// By moment, then datagrams before wakes (a resumed process reads its socket, then its timers), then order.
+    /// Ordered by time, then datagrams before wakes (a resumed process reads its socket before it checks its timers),
+    /// then insertion.
     queue: BinaryHeap<Reverse<(Micros, u8, u64, Due)>>,
-    order: u64,
-    /// Of what was handed over last.
+    sequence: u64,
+    /// Time of the last event that `next` returned.
     now: Micros,
-    /// Group of each process while a cut stands; datagrams between groups are lost.
+    /// Group of each process during a partition; datagrams between groups are lost.
     groups: Option<Vec<u8>>,
-    /// A stopped process takes nothing in until this moment.
+    /// A stopped process receives nothing until this time.
     stopped_until: Vec<Micros>,
     crashed: Vec<bool>,
+    /// Requested wake of each process; a queued wake for another time is stale.
     wakes: Vec<Option<Micros>>,
-    /// Datagrams sent, lost, and handed over.
+    /// Datagrams sent, lost, and delivered.
     pub sent: u64,
     #[allow(missing_docs)]
     pub lost: u64,
@@ -48,13 +50,13 @@
 }
 
 impl Network {
-    /// A network of `n` processes.
+    /// Creates a network of `n` processes.
     pub fn new(n: usize, fault: Fault, seed: u64) -> Self {
         Network {
             fault,
             rng: fastrand::Rng::with_seed(seed ^ 0x006e_6574_776f_726b),
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             now: Micros(0),
             groups: None,
             stopped_until: vec![Micros(0); n],
@@ -67,15 +69,15 @@
     }
 
     fn push(&mut self, at: Micros, due: Due) {
-        self.order += 1;
-        let kind = u8::from(matches!(due, Due::Wake { .. }));
-        self.queue.push(Reverse((at, kind, self.order, due)));
+        self.sequence += 1;
+        let priority = u8::from(matches!(due, Due::Wake { .. }));
+        self.queue.push(Reverse((at, priority, self.sequence, due)));
     }
 
-    /// A datagram leaves `from` at `now`.
+    /// Sends a datagram from one process to another at `now`.
     pub fn send(&mut self, now: Micros, from: usize, to: usize, bytes: Vec<u8>) {
         self.sent += 1;
-        if to >= self.crashed.len() || self.rng.f64() < self.fault.loss || self.cut(from, to) {
+        if to >= self.crashed.len() || self.rng.f64() < self.fault.loss || self.is_partitioned(from, to) {
             self.lost += 1;
             return;
         }
@@ -84,11 +86,12 @@
         self.push(at, Due::Datagram { to, from, bytes });
     }
 
-    fn cut(&self, from: usize, to: usize) -> bool {
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
         self.groups.as_ref().is_some_and(|groups| groups[from] != groups[to])
     }
 
-    /// The process wants to be woken at `at` (the last such wish counts); what is overdue is due now: time never goes back.
+    /// Wakes the process at `at`, instead of any wake requested before. A time in the past means now: simulated time
+    /// never goes back.
     pub fn wake(&mut self, process: usize, at: Micros) {
         let at = at.max(self.now);
         if self.wakes[process] != Some(at) {
@@ -97,32 +100,32 @@
         }
     }
 
-    /// Cuts the network into groups (one number a process), or heals it with `None`.
+    /// Partitions the network into groups (one group number per process); `None` ends the partition.
     pub fn set_groups(&mut self, groups: Option<Vec<u8>>) {
         self.groups = groups;
     }
 
-    /// Stops a process until `until`; what comes meanwhile waits.
+    /// Stops a process until `until`; datagrams and wakes wait meanwhile.
     pub fn stop(&mut self, process: usize, until: Micros) {
         self.stopped_until[process] = until;
     }
 
-    /// Ends a process for good.
+    /// Ends a process; events for it are dropped.
     pub fn crash(&mut self, process: usize) {
         self.crashed[process] = true;
     }
 
-    /// Another start in its place.
+    /// Starts a crashed process again.
     pub fn restart(&mut self, process: usize) {
         (self.crashed[process], self.stopped_until[process], self.wakes[process]) = (false, Micros(0), None);
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has crashed.
     pub fn crashed(&self, process: usize) -> bool {
         self.crashed[process]
     }
 
-    /// The next thing due at or before `until`, with its moment; datagrams to stopped processes wait.
+    /// Returns the next event due at or before `until`, with its time. Events for stopped processes are postponed.
     pub fn next(&mut self, until: Micros) -> Option<(Micros, Due)> {
         loop {
             let Reverse((at, _, _, _)) = self.queue.peek()?;
@@ -130,7 +133,7 @@
                 return None;
             }
             let Reverse((at, _, _, due)) = self.queue.pop()?;
-            debug_assert!(at >= self.now, "time goes on");
+            debug_assert!(at >= self.now, "simulated time never goes back");
             self.now = at;
             let process = match &due {
                 Due::Datagram { to, .. } => *to,
@@ -146,7 +149,7 @@
             }
             let resume = self.stopped_until[process];
             if resume > at {
-                // As in a stopped process: datagrams wait in the socket, the timer fires late.
+                // As in a stopped process, datagrams wait in the socket, and the timer fires late.
                 if let Due::Wake { process } = due {
                     self.wakes[process] = Some(resume);
                 }
