--- a/src/lab/cold_start/tests.rs
+++ b/src/lab/cold_start/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn few_ask_and_the_same_seed_gives_the_same_run() {
+fn few_members_call_the_list_service_and_the_same_seed_gives_the_same_report() {
     let report = run(&plan(60, Service::Live, 0.0));
     assert!(report.alone.list_calls_total >= 60 && report.known.list_calls_total <= 18, "{report:?}");
     assert_eq!((report.known.never_ready, report.started), (0, 60), "{report:?}");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn of_a_running_fleet_the_killed_come_back_whatever_the_service_does() {
+fn killed_forwarders_of_a_running_fleet_become_ready_however_the_list_service_answers() {
     for service in [Service::Live, Service::Slow, Service::Silent, Service::Refusing, Service::Partial] {
         let report = run(&plan(40, service, 0.7));
         assert_eq!((report.started, report.known.never_ready), (28, 0), "{report:?}");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn with_an_endpoint_out_nothing_is_lost_and_no_payment_runs_twice() {
+fn endpoint_down_during_the_restart_loses_no_message_and_runs_no_payment_twice() {
     let report = run(&Plan { out: 1, ..plan(40, Service::Live, 0.7) });
     assert!(report.known.refused_share > 0.1, "{report:?}");
     assert_eq!((report.known.lost, report.known.paid_twice), (0, 0), "{report:?}");
--- a/src/lab/endpoints.rs
+++ b/src/lab/endpoints.rs
@@ -1,6 +1,6 @@
-//! Simulated endpoints that all forwarders of a fleet share. Each has a limit of calls per second (a token bucket of half a
-//! second, which rejected calls use up as served ones do) and a limit of open connections. Each answer reports the
-//! limit of calls.
+//! Simulated endpoints that all forwarders of a fleet share. Each has a limit of calls per second (a token
+//! bucket of half a second, which rejected calls use up as served ones do) and a limit of open connections.
+//! Each answer reports the limit of calls.
 
 use crate::report::Report;
 use crate::{AttemptOutcome, Micros};
--- a/src/lab/maintenance.rs
+++ b/src/lab/maintenance.rs
@@ -1,6 +1,7 @@
-//! `cedarwharf lab maintenance`: a fleet that takes its forwarders out for work, on simulated time, while some of them crash, are
-//! stopped, or are cut off. Membership, agreement and the life of each process are the program's own cores; counted is what
-//! each of them does, not what the ledger says of it.
+//! `cedarwharf lab maintenance`: runs a fleet that takes its forwarders out of service one after another, on
+//! simulated time, while some crash, are stopped or are partitioned. Membership, agreement and the lifecycle
+//! of each process are the program's own cores. The report counts what each process does, not what the ledger
+//! records of it.
 
 use super::forwarder::address;
 use super::network::{Due, Fault, Network};
@@ -16,14 +17,15 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What goes wrong on the way.
+/// Kinds of faults to inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Holders of leases die; each comes back after three windows.
+    /// Lease holders crash; each restarts after three windows.
     pub crash: bool,
-    /// Holders are stopped for two windows, and go on.
+    /// Lease holders are stopped for two windows, then continue.
     pub stall: bool,
-    /// The fleet is cut in two, the voters 3 and 2, again and again.
+    /// The fleet is repeatedly partitioned into two groups; of five voters, three are in one and two in the
+    /// other.
     pub partition: bool,
 }
 
@@ -36,19 +38,19 @@
     pub voters: usize,
     #[allow(missing_docs)]
     pub at_once: u32,
-    /// Of every chance in the run.
+    /// Seed of all random choices.
     pub seed: u64,
     #[allow(missing_docs)]
     pub faults: Faults,
     #[allow(missing_docs)]
     pub fault: Fault,
-    /// Each is out for so long at the most; work takes three to eight tenths of it.
+    /// Longest time that each forwarder is out of service; the work takes 30% to 80% of it.
     pub window: Micros,
-    /// After the request.
+    /// Longest simulated time after the request.
     pub duration: Micros,
 }
 
-/// What a run shows.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 #[allow(missing_docs)]
 pub struct Report {
@@ -57,43 +59,45 @@
     pub at_once: u32,
     pub seed: u64,
     pub loss: f64,
-    /// Draining, or down for work, at one moment: never above `at_once`.
+    /// Largest number of forwarders draining or down for work at the same time: never above `at_once`.
     pub max_out_at_once: usize,
-    /// Times at which more were.
+    /// Number of checks that found more than `at_once` forwarders out of service.
     pub violations: usize,
-    /// Forwarders that were out and came back.
+    /// Forwarders that were out of service and returned.
     pub completed: usize,
-    /// Written off: they died, and their windows passed.
+    /// Forwarders written off: they died, and their windows passed.
     pub written_off: usize,
-    /// In the round, alive, and never out.
+    /// Live forwarders of the plan that never went out of service.
     pub stuck: usize,
-    /// The least share of the fleet that was ready at one moment, after all had started.
+    /// Smallest share of the fleet that was ready at any time after the request; all have started by then.
     pub capacity_min_share: f64,
-    /// From the request until the round was over; none where it was not.
+    /// Time from the request until the plan was completed; `None` if it was not.
     pub duration_s: Option<f64>,
-    /// What the windows of all add up to, `at_once` at a time.
+    /// Sum of the windows of all forwarders, `at_once` at a time.
     pub windows_s: f64,
     pub crashes: usize,
     pub stalls: usize,
     pub cuts: usize,
-    /// Changes of the ledger; datagrams for each of them, and in a second for each forwarder that asks whether there is a later
-    /// ledger; from staff's request to its answer, at two members at once, at most.
+    /// Changes of the ledger.
     pub changes: u64,
+    /// Datagrams per change of the ledger.
     pub datagrams_per_change: f64,
+    /// Datagrams per second and forwarder that ask for a later ledger.
     pub looks_per_forwarder_s: f64,
+    /// Longest time from the operators' request, made to two members at once, until its answer.
     pub request_ms: f64,
 }
 
-/// Before the request, for all to know all.
+/// Time before the request, in which all forwarders join.
 const WARM_UP: Micros = Micros(8_000_000);
-/// A drain's clients are gone after so long.
-const SENT_AWAY: Micros = Micros(3_500_000);
-/// A start's own pace is there after so long.
-const SETTLES: Micros = Micros(5_000_000);
+/// Time after which a draining forwarder has no clients left.
+const DRAIN_TIME: Micros = Micros(3_500_000);
+/// Time after which a started forwarder has its full send rate.
+const SETTLE_TIME: Micros = Micros(5_000_000);
 
-struct Sees<'a>(&'a Node);
+struct NodeView<'a>(&'a Node);
 
-impl FleetView for Sees<'_> {
+impl FleetView for NodeView<'_> {
     fn state(&self, name: &str) -> Option<State> {
         self.0.state_of(name).map(|(.., state)| state)
     }
@@ -104,31 +108,34 @@
     }
 }
 
-/// One start of one process.
+/// One process of a forwarder, from its start until it crashes.
 struct Process {
     index: usize,
     node: Node,
     agent: Agent,
     assembly: Assembly,
     life: Lifecycle,
-    began: Micros,
+    started_at: Micros,
     drained_at: Option<Micros>,
-    /// Work is done then.
+    /// Time at which the work on the forwarder is done.
     done_at: Option<Micros>,
-    inbox: Vec<Output>,
+    agent_outputs: Vec<Output>,
 }
 
-/// What goes beyond one process.
+/// State that outlives the processes, and the counts of the run.
 struct World {
-    /// What each voter has on its disk.
-    kept: Vec<Option<Acceptor>>,
+    /// State of each voter's acceptor, as stored on its disk.
+    stored_acceptors: Vec<Option<Acceptor>>,
     names: Vec<String>,
-    /// Datagrams: to agree, and to ask for a later ledger and tell one.
-    agreed: u64,
-    looked: u64,
-    /// When staff asked, and the longest that they waited.
-    asked_at: Micros,
-    answered_after: Micros,
+    /// Datagrams of the agreement on changes.
+    agreement_datagrams: u64,
+    /// Datagrams that ask for a later ledger.
+    query_datagrams: u64,
+    /// Time of the operators' request.
+    requested_at: Micros,
+    /// Longest time until an answer to the request.
+    longest_request: Micros,
+    /// The latest ledger that any forwarder knows.
     ledger: Ledger,
 }
 
@@ -143,11 +150,11 @@
         let seeds = (0..plan.forwarders.min(3)).map(address).collect();
         let node = Node::new(me, "lab", None, membership::Settings::default(), seeds, seed, now);
         let voters: Vec<String> = (0..plan.voters).map(name).collect();
-        let acceptor = Some(world.kept[index].clone().unwrap_or_default());
+        let acceptor = Some(world.stored_acceptors[index].clone().unwrap_or_default());
         let agent = Agent::new((&name(index), now.0.max(1)), &voters, acceptor, None, seed, now);
         let (assembly, life) = (Assembly::default(), Lifecycle::default());
-        let (drained_at, done_at, inbox) = (None, None, Vec::new());
-        Process { index, node, agent, assembly, life, began: now, drained_at, done_at, inbox }
+        let (drained_at, done_at, agent_outputs) = (None, None, Vec::new());
+        Process { index, node, agent, assembly, life, started_at: now, drained_at, done_at, agent_outputs }
     }
 
     fn receive(&mut self, now: Micros, from: usize, bytes: &[u8], out: &mut Vec<(SocketAddr, Vec<u8>)>) {
@@ -165,12 +172,12 @@
         for output in outputs {
             match output {
                 membership::Output::Send { to, bytes } => out.push((to, bytes)),
-                membership::Output::MaintenancePart(from, part) => {
-                    let whole = self.assembly.add_fragment(now, &from, part);
+                membership::Output::MaintenancePart(from, fragment) => {
+                    let encoded = self.assembly.add_fragment(now, &from, fragment);
                     let message =
-                        whole.and_then(|bytes| ciborium::from_reader::<Message, _>(&bytes[..]).ok());
+                        encoded.and_then(|bytes| ciborium::from_reader::<Message, _>(&bytes[..]).ok());
                     if let Some(message) = message {
-                        self.agent.receive(now, &from, message, &mut self.inbox);
+                        self.agent.receive(now, &from, message, &mut self.agent_outputs);
                     }
                 }
                 _ => {}
@@ -178,8 +185,8 @@
         }
     }
 
-    /// What is due, as the program's loop does it.
-    fn turn(&mut self, now: Micros, plan: &Plan, world: &mut World, out: &mut Vec<(SocketAddr, Vec<u8>)>) {
+    /// One loop iteration: carries out what is due, in the order of the program's loop.
+    fn iterate(&mut self, now: Micros, plan: &Plan, world: &mut World, out: &mut Vec<(SocketAddr, Vec<u8>)>) {
         let mut outputs = Vec::new();
         if now >= self.node.next_wake() {
             self.node.tick(now, &mut outputs);
@@ -189,48 +196,54 @@
         let drained = draining && self.drained_at.is_some_and(|at| now >= at);
         let process = ProcessState {
             in_service: self.life.accepts_clients(),
-            settled: now >= self.began.plus(SETTLES),
+            settled: now >= self.started_at.plus(SETTLE_TIME),
             draining,
             drained,
         };
-        self.agent.tick(now, process, &Sees(&self.node), &mut self.inbox);
-        // Work ends by staff's word, well before the window does.
+        self.agent.tick(now, process, &NodeView(&self.node), &mut self.agent_outputs);
+        // The operators end the work well before the window ends.
         if self.done_at.is_some_and(|at| now >= at) && drained {
             self.done_at = None;
             let _ = self.life.stop_drain();
         }
-        let mut queue = VecDeque::from(std::mem::take(&mut self.inbox));
+        let mut queue = VecDeque::from(std::mem::take(&mut self.agent_outputs));
         while let Some(output) = queue.pop_front() {
             match output {
-                Output::Persist(acceptor) => world.kept[self.index] = Some(acceptor),
+                Output::Persist(acceptor) => world.stored_acceptors[self.index] = Some(acceptor),
                 Output::Send(name, message) if name == world.names[self.index] => {
-                    let mut more = Vec::new();
-                    self.agent.receive(now, &name, message, &mut more);
-                    queue.extend(more);
+                    let mut outputs = Vec::new();
+                    self.agent.receive(now, &name, message, &mut outputs);
+                    queue.extend(outputs);
                 }
                 Output::Send(name, message) => {
                     let mut bytes = Vec::new();
                     let _ = ciborium::into_writer(&message, &mut bytes);
                     let mut outputs = Vec::new();
-                    let look = matches!(message, Message::LedgerQuery(_));
-                    for part in split(&bytes).into_iter().flatten() {
-                        *(if look { &mut world.looked } else { &mut world.agreed }) += 1;
-                        self.node.send_maintenance_part(now, &name, part, &mut outputs);
+                    let is_query = matches!(message, Message::LedgerQuery(_));
+                    for fragment in split(&bytes).into_iter().flatten() {
+                        let count = match is_query {
+                            true => &mut world.query_datagrams,
+                            false => &mut world.agreement_datagrams,
+                        };
+                        *count += 1;
+                        self.node.send_maintenance_part(now, &name, fragment, &mut outputs);
                     }
                     self.carry_out(now, outputs, out);
                 }
                 Output::Drain(fence) => {
                     self.life.start_drain(now);
-                    let share = (fence.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ plan.seed) % 500;
-                    self.drained_at = Some(now.plus(SENT_AWAY));
-                    self.done_at = Some(now.plus(Micros(plan.window.0 / 1_000 * (300 + share))));
+                    // The work takes 300 to 799 thousandths of the window, derived from the lease and the
+                    // seed.
+                    let thousandths = 300 + (fence.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ plan.seed) % 500;
+                    self.drained_at = Some(now.plus(DRAIN_TIME));
+                    self.done_at = Some(now.plus(Micros(plan.window.0 / 1_000 * thousandths)));
                 }
                 Output::EndDrain => {
                     let _ = self.life.stop_drain();
                     self.done_at = None;
                 }
                 Output::Answer(..) => {
-                    world.answered_after = world.answered_after.max(now.minus(world.asked_at));
+                    world.longest_request = world.longest_request.max(now.minus(world.requested_at));
                 }
                 Output::Log(_) => {}
             }
@@ -245,25 +258,25 @@
         let mut due = self.node.next_wake().min(self.agent.due());
         due = due.min(self.done_at.unwrap_or(Micros(u64::MAX)));
         due = due.min(self.drained_at.filter(|&at| at > now).unwrap_or(Micros(u64::MAX)));
-        if !self.inbox.is_empty() {
+        if !self.agent_outputs.is_empty() {
             due = now;
         }
         due.max(now.plus(Micros(100)))
     }
 }
 
-/// Runs the plan.
+/// Runs the plan on simulated time.
 pub fn run(plan: &Plan) -> Report {
     let n = plan.forwarders;
     let mut random = fastrand::Rng::with_seed(plan.seed ^ 0x006d_6169_6e74);
     let mut net = Network::new(n, plan.fault.clone(), plan.seed);
     let mut world = World {
-        kept: vec![None; n],
+        stored_acceptors: vec![None; n],
         names: (0..n).map(name).collect(),
-        agreed: 0,
-        looked: 0,
-        asked_at: Micros(0),
-        answered_after: Micros(0),
+        agreement_datagrams: 0,
+        query_datagrams: 0,
+        requested_at: Micros(0),
+        longest_request: Micros(0),
         ledger: Ledger::default(),
     };
     let mut fleet: Vec<Option<Process>> = (0..n).map(|_| None).collect();
@@ -293,24 +306,25 @@
         looks_per_forwarder_s: 0.0,
         request_ms: 0.0,
     };
-    let mut asked = None;
-    // When a crashed process comes back, until when one is stopped and by when its lease had ended, and until when a cut stands.
-    let mut back: Vec<Option<Micros>> = vec![None; n];
+    let mut requested = None;
+    // When each crashed process restarts.
+    let mut restart_at: Vec<Option<Micros>> = vec![None; n];
+    // Until when each process is stopped, and the end of its lease.
     let mut stopped: Vec<Option<(Micros, Micros)>> = vec![None; n];
-    let mut cut_until: Option<Micros> = None;
+    let mut partition_until: Option<Micros> = None;
     let mut next_fault = WARM_UP.plus(Micros(plan.window.0 / 2));
-    let mut step = Micros(100_000);
-    let mut out = Vec::new();
+    let mut check_at = Micros(100_000);
+    let mut datagrams = Vec::new();
     loop {
-        let Some((now, due)) = net.next(step) else {
-            let now = step;
-            step = step.plus(Micros(100_000));
+        let Some((now, due)) = net.next(check_at) else {
+            let now = check_at;
+            check_at = check_at.plus(Micros(100_000));
             if now >= end || report.duration_s.is_some() {
                 break;
             }
-            if now >= WARM_UP && asked.is_none() {
-                // Given to two members at once, in the same words.
-                (asked, world.asked_at) = (Some(now), now);
+            if now >= WARM_UP && requested.is_none() {
+                // The same request is made to two members at once.
+                (requested, world.requested_at) = (Some(now), now);
                 let alive = world.names.iter().cloned().collect();
                 let body = format!(
                     r#"{{"set":"all","at_most":{},"window_s":{},"deadline_s":{}}}"#,
@@ -318,19 +332,19 @@
                     plan.window.0 as f64 / 1e6,
                     plan.duration.0 as f64 / 1e6
                 );
-                let round =
+                let maintenance_plan =
                     request::parse(body.as_bytes(), &Fleet { alive, size: n }, &Ledger::default(), now);
-                let round = round.expect("the plan's round stands");
+                let maintenance_plan = maintenance_plan.expect("the request is valid");
                 for index in [0, n - 1] {
-                    if let Some(one) = &mut fleet[index] {
-                        one.agent.submit(now, index as u64, Change::AddPlan(round.clone()));
+                    if let Some(process) = &mut fleet[index] {
+                        process.agent.submit(now, index as u64, Change::AddPlan(maintenance_plan.clone()));
                         net.wake(index, now);
                     }
                 }
             }
             for index in 0..n {
-                if back[index].is_some_and(|at| now >= at) {
-                    back[index] = None;
+                if restart_at[index].is_some_and(|at| now >= at) {
+                    restart_at[index] = None;
                     net.restart(index);
                     net.wake(index, now);
                 }
@@ -338,87 +352,88 @@
                     stopped[index] = None;
                 }
             }
-            if cut_until.is_some_and(|at| now >= at) {
-                cut_until = None;
+            if partition_until.is_some_and(|at| now >= at) {
+                partition_until = None;
                 net.set_groups(None);
             }
-            if asked.is_some() && now >= next_fault {
+            if requested.is_some() && now >= next_fault {
                 next_fault = now.plus(Micros(random.u64(plan.window.0 / 2..plan.window.0 * 2)));
-                let holder = (0..n).find(|&index| {
-                    fleet[index]
-                        .as_ref()
-                        .is_some_and(|one| one.agent.own_lease().is_some_and(|mine| mine.stage.is_out()))
-                        && stopped[index].is_none()
+                let lease_holder = (0..n).find(|&index| {
+                    fleet[index].as_ref().is_some_and(|process| {
+                        process.agent.own_lease().is_some_and(|mine| mine.stage.is_out())
+                    }) && stopped[index].is_none()
                 });
-                let wanted = [plan.faults.crash, plan.faults.stall, plan.faults.partition];
-                let kinds: Vec<usize> = (0..3).filter(|&kind| wanted[kind]).collect();
-                match (kinds.get(random.usize(0..kinds.len().max(1))), holder) {
+                let enabled = [plan.faults.crash, plan.faults.stall, plan.faults.partition];
+                let kinds: Vec<usize> = (0..3).filter(|&kind| enabled[kind]).collect();
+                match (kinds.get(random.usize(0..kinds.len().max(1))), lease_holder) {
                     (Some(0), Some(index)) => {
                         report.crashes += 1;
                         net.crash(index);
                         fleet[index] = None;
-                        back[index] = Some(now.plus(Micros(plan.window.0 * 3)));
+                        restart_at[index] = Some(now.plus(Micros(plan.window.0 * 3)));
                     }
                     (Some(1), Some(index)) => {
                         report.stalls += 1;
                         let until = now.plus(Micros(plan.window.0 * 2));
-                        let lease = fleet[index]
+                        let lease_end = fleet[index]
                             .as_ref()
-                            .and_then(|one| one.agent.own_lease())
+                            .and_then(|process| process.agent.own_lease())
                             .map_or(now, |mine| mine.until);
                         net.stop(index, until);
-                        stopped[index] = Some((until, lease));
+                        stopped[index] = Some((until, lease_end));
                     }
-                    (Some(2), _) if cut_until.is_none() => {
+                    (Some(2), _) if partition_until.is_none() => {
                         report.cuts += 1;
-                        // The smaller part has a minority of the voters, drawn each time.
+                        // Group 1 has a minority of the voters, chosen at random each time.
                         let mut groups = vec![0u8; n];
-                        let minority: Vec<usize> = (0..plan.voters).collect();
+                        let voters: Vec<usize> = (0..plan.voters).collect();
                         let first = random.usize(0..plan.voters);
-                        for place in 0..plan.voters / 2 {
-                            groups[minority[(first + place) % plan.voters]] = 1;
+                        for offset in 0..plan.voters / 2 {
+                            groups[voters[(first + offset) % plan.voters]] = 1;
                         }
                         for group in groups.iter_mut().skip(plan.voters) {
                             *group = u8::from(random.u8(0..3) == 0);
                         }
                         net.set_groups(Some(groups));
-                        cut_until = Some(now.plus(Micros(random.u64(plan.window.0 / 2..plan.window.0 * 2))));
+                        partition_until =
+                            Some(now.plus(Micros(random.u64(plan.window.0 / 2..plan.window.0 * 2))));
                     }
                     _ => {}
                 }
             }
-            let draining = |index: &usize| {
-                let dead_in_effect = stopped[*index].is_some_and(|(_, lease)| now >= lease);
-                fleet[*index].as_ref().is_some_and(|one| one.life.stage() == Stage::Draining)
-                    && !dead_in_effect
+            // A stopped process counts as dead, not as out, once its lease has ended.
+            let is_out = |index: &usize| {
+                let lease_ended = stopped[*index].is_some_and(|(_, lease_end)| now >= lease_end);
+                fleet[*index].as_ref().is_some_and(|process| process.life.stage() == Stage::Draining)
+                    && !lease_ended
             };
-            let count = (0..n).filter(draining).count();
-            report.max_out_at_once = report.max_out_at_once.max(count);
-            report.violations += usize::from(count > plan.at_once as usize);
+            let out_count = (0..n).filter(is_out).count();
+            report.max_out_at_once = report.max_out_at_once.max(out_count);
+            report.violations += usize::from(out_count > plan.at_once as usize);
             let serving = (0..n).filter(|&index| {
                 stopped[index].is_none()
-                    && fleet[index].as_ref().is_some_and(|one| one.life.accepts_clients())
+                    && fleet[index].as_ref().is_some_and(|process| process.life.accepts_clients())
             });
-            if asked.is_some() {
+            if requested.is_some() {
                 report.capacity_min_share = report.capacity_min_share.min(serving.count() as f64 / n as f64);
             }
-            let round = world.ledger.plans.first();
-            let over =
-                round.is_some_and(|round| round.statuses.iter().all(|done| *done != MemberStatus::Pending));
-            if let (true, Some(asked), true) = (over, asked, world.ledger.leases.is_empty()) {
-                report.duration_s = Some((now.minus(asked).0 / 100_000) as f64 / 10.0);
+            let first_plan = world.ledger.plans.first();
+            let completed = first_plan
+                .is_some_and(|plan| plan.statuses.iter().all(|status| *status != MemberStatus::Pending));
+            if let (true, Some(requested), true) = (completed, requested, world.ledger.leases.is_empty()) {
+                report.duration_s = Some((now.minus(requested).0 / 100_000) as f64 / 10.0);
             }
             continue;
         };
         let index = match due {
             Due::Datagram { to, from, bytes } => {
-                let Some(one) = &mut fleet[to] else { continue };
-                one.receive(now, from, &bytes, &mut out);
+                let Some(process) = &mut fleet[to] else { continue };
+                process.receive(now, from, &bytes, &mut datagrams);
                 to
             }
             Due::Wake { process } => {
                 if fleet[process].is_none() {
-                    if back[process].is_some() {
+                    if restart_at[process].is_some() {
                         continue;
                     }
                     fleet[process] = Some(Process::new(plan, &world, process, now));
@@ -426,31 +441,34 @@
                 process
             }
         };
-        let Some(one) = &mut fleet[index] else { continue };
-        one.turn(now, plan, &mut world, &mut out);
-        net.wake(index, one.due(now));
-        for (to, bytes) in out.drain(..) {
+        let Some(process) = &mut fleet[index] else { continue };
+        process.iterate(now, plan, &mut world, &mut datagrams);
+        net.wake(index, process.due(now));
+        for (to, bytes) in datagrams.drain(..) {
             net.send(now, index, usize::from(to.port()) - 20_000, bytes);
         }
     }
-    let round = world.ledger.plans.first();
-    let of = |wanted: MemberStatus| {
-        round.map_or(0, |round| round.statuses.iter().filter(|done| **done == wanted).count())
+    let maintenance_plan = world.ledger.plans.first();
+    let count_of = |wanted: MemberStatus| {
+        maintenance_plan.map_or(0, |plan| plan.statuses.iter().filter(|status| **status == wanted).count())
     };
-    (report.completed, report.written_off) = (of(MemberStatus::Returned), of(MemberStatus::WrittenOff));
-    report.stuck = round.map_or(n, |round| {
-        let never = |(place, name): (usize, &String)| {
-            let index = world.names.iter().position(|one| one == name);
-            round.statuses[place] == MemberStatus::Pending
+    (report.completed, report.written_off) =
+        (count_of(MemberStatus::Returned), count_of(MemberStatus::WrittenOff));
+    report.stuck = maintenance_plan.map_or(n, |plan| {
+        let is_stuck = |(position, name): (usize, &String)| {
+            let index = world.names.iter().position(|other| other == name);
+            plan.statuses[position] == MemberStatus::Pending
                 && index.is_some_and(|index| fleet[index].is_some())
         };
-        round.names.iter().enumerate().filter(|one| never(*one)).count()
+        plan.names.iter().enumerate().filter(|member| is_stuck(*member)).count()
     });
     report.capacity_min_share = (report.capacity_min_share * 1e3).round() / 1e3;
-    let tenth = |value: f64| (value * 10.0).round() / 10.0;
-    report.datagrams_per_change = tenth(world.agreed as f64 / world.ledger.version.max(1) as f64);
-    report.looks_per_forwarder_s = tenth(world.looked as f64 / n as f64 / (step.0 as f64 / 1e6));
-    report.request_ms = tenth(world.answered_after.0 as f64 / 1e3);
+    let round_to_tenths = |value: f64| (value * 10.0).round() / 10.0;
+    report.datagrams_per_change =
+        round_to_tenths(world.agreement_datagrams as f64 / world.ledger.version.max(1) as f64);
+    report.looks_per_forwarder_s =
+        round_to_tenths(world.query_datagrams as f64 / n as f64 / (check_at.0 as f64 / 1e6));
+    report.request_ms = round_to_tenths(world.longest_request.0 as f64 / 1e3);
     report.changes = world.ledger.version;
     report
 }
--- a/src/lab/membership.rs
+++ b/src/lab/membership.rs
@@ -1,6 +1,6 @@
-//! `cedarwharf lab membership`: runs a fleet of membership cores on the simulated network, with crashes, stalls and a
-//! partition. Reports the time until every member knows of a crash, the members wrongly declared dead, and the
-//! network traffic.
+//! `cedarwharf lab membership`: runs a fleet of membership cores on the simulated network, with crashes,
+//! stalls and a partition. Reports the time until every member knows of a crash, the members wrongly declared
+//! dead, and the network traffic.
 
 use super::network::{Due, Fault, Network};
 use crate::membership::{Identity, Node, Output, Settings, State};
@@ -44,7 +44,8 @@
     pub duration_s: f64,
     /// Time from the start until every member lists every other member as alive or suspect, and none as dead.
     pub joined_s: Option<f64>,
-    /// Time from a crash until every live member lists the crashed member as dead: median and 99th percentile.
+    /// Time from a crash until every live member lists the crashed member as dead: median and 99th
+    /// percentile.
     pub detected_p50_s: Option<f64>,
     pub detected_p99_s: Option<f64>,
     /// Time from a crash until the first member suspects the crashed member.
@@ -53,10 +54,11 @@
     pub undetected: usize,
     /// Members that did not crash, but were declared dead by a member on their side of the partition, if any.
     pub false_dead: usize,
-    /// Members declared dead across the partition, from its start until the views have converged after it. This
-    /// is expected and doesn't count as false.
+    /// Members declared dead across the partition, from its start until the views have converged after it.
+    /// This is expected and doesn't count as false.
     pub partition_dead: usize,
-    /// Time from the end of the partition until every live member lists every other as live, and none as dead.
+    /// Time from the end of the partition until every live member lists every other as live, and none as
+    /// dead.
     pub converged_s: Option<f64>,
     /// Pairs (observer, member) where a live observer lists a live member as dead or suspect at the end.
     pub wrongly_held_at_end: usize,
--- a/src/lab/network.rs
+++ b/src/lab/network.rs
@@ -1,6 +1,6 @@
-//! A simulated datagram network between processes numbered 0 to n - 1. It loses datagrams, delays them with jitter (and
-//! so reorders them) and is partitioned into groups. A process can be stopped for a while, as with SIGSTOP (datagrams
-//! wait in its socket meanwhile), or crash.
+//! A simulated datagram network between processes numbered 0 to n - 1. It loses datagrams, delays them with
+//! jitter (and so reorders them) and is partitioned into groups. A process can be stopped for a while, as
+//! with SIGSTOP (datagrams wait in its socket meanwhile), or crash.
 
 use crate::Micros;
 use std::cmp::Reverse;
@@ -28,8 +28,8 @@
 pub struct Network {
     fault: Fault,
     rng: fastrand::Rng,
-    /// Ordered by time, then datagrams before wakes (a resumed process reads its socket before it checks its timers),
-    /// then insertion.
+    /// Ordered by time, then datagrams before wakes (a resumed process reads its socket before it checks its
+    /// timers), then insertion.
     queue: BinaryHeap<Reverse<(Micros, u8, u64, Due)>>,
     sequence: u64,
     /// Time of the last event that `next` returned.
@@ -90,8 +90,8 @@
         self.groups.as_ref().is_some_and(|groups| groups[from] != groups[to])
     }
 
-    /// Wakes the process at `at`, instead of any wake requested before. A time in the past means now: simulated time
-    /// never goes back.
+    /// Wakes the process at `at`, instead of any wake requested before. A time in the past means now:
+    /// simulated time never goes back.
     pub fn wake(&mut self, process: usize, at: Micros) {
         let at = at.max(self.now);
         if self.wakes[process] != Some(at) {
@@ -125,7 +125,8 @@
         self.crashed[process]
     }
 
-    /// Returns the next event due at or before `until`, with its time. Events for stopped processes are postponed.
+    /// Returns the next event due at or before `until`, with its time. Events for stopped processes are
+    /// postponed.
     pub fn next(&mut self, until: Micros) -> Option<(Micros, Due)> {
         loop {
             let Reverse((at, _, _, _)) = self.queue.peek()?;
