--- a/benches/acknowledgements.rs
+++ b/benches/acknowledgements.rs
@@ -1,6 +1,7 @@
-//! Acknowledgements of the real program over loopback while 20,000 messages are held and 5,000 a second come in, without
-//! and with a change of the configuration every 100 ms: `cargo bench --bench acknowledgements`. Both are measured in turns
-//! within one run, so that what else the machine does meets both alike.
+//! Latency of acknowledgements of the program over loopback, with 20,000 messages held and 5,000 submitted a
+//! second, without and with a change of the configuration every 100 ms: `cargo bench --bench
+//! acknowledgements`. The measurements alternate within one run, so that other load on the machine affects
+//! both alike.
 
 mod common;
 #[path = "../tests/support/mod.rs"]
@@ -18,12 +19,13 @@
 use support::Stage;
 
 const CLIENTS: u64 = 16;
-const A_SECOND: u64 = 5_000;
-/// Rounds of each kind, and how long each is.
+const REQUESTS_PER_S: u64 = 5_000;
+/// Rounds of each kind of change.
 const ROUNDS: u32 = 4;
-const ROUND: Duration = Duration::from_secs(4);
-const BETWEEN_CHANGES: Duration = Duration::from_millis(100);
+const ROUND_DURATION: Duration = Duration::from_secs(4);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 
+/// The number of seconds in an environment variable, or the default.
 fn seconds(name: &str, default: u64) -> u64 {
     std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
 }
@@ -32,66 +34,67 @@
     number: u64,
     at: std::net::SocketAddr,
     stop: Arc<AtomicBool>,
-    next: Arc<AtomicU64>,
-    heard: Arc<Mutex<Histogram<u64>>>,
+    next_id: Arc<AtomicU64>,
+    latencies: Arc<Mutex<Histogram<u64>>>,
 ) {
     let mut reader = BufReader::new(TcpStream::connect(at).unwrap());
-    let pause = Duration::from_nanos(1_000_000_000 * CLIENTS / A_SECOND);
-    let mut due = Instant::now() + pause * number as u32 / CLIENTS as u32;
+    let interval = Duration::from_nanos(1_000_000_000 * CLIENTS / REQUESTS_PER_S);
+    let mut due = Instant::now() + interval * number as u32 / CLIENTS as u32;
     while !stop.load(SeqCst) {
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        due += pause;
-        let id = next.fetch_add(1, SeqCst);
-        let began = Instant::now();
+        due += interval;
+        let id = next_id.fetch_add(1, SeqCst);
+        let sent_at = Instant::now();
         reader.get_mut().write_all(request(id).as_bytes()).unwrap();
-        let (first, ..) = message(&mut reader).expect("an answer");
-        let took = began.elapsed().as_micros() as u64;
-        assert!(first.contains(" 202 ") || first.contains(" 503 "), "{first}");
-        heard.lock().unwrap().record(took).unwrap();
+        let (status_line, ..) = message(&mut reader).expect("an answer");
+        let latency = sent_at.elapsed().as_micros() as u64;
+        assert!(status_line.contains(" 202 ") || status_line.contains(" 503 "), "{status_line}");
+        latencies.lock().unwrap().record(latency).unwrap();
     }
 }
 
 fn main() {
-    let fill = Duration::from_secs(seconds("CEDARWHARF_FILL_SECONDS", 8));
+    let fill_time = Duration::from_secs(seconds("CEDARWHARF_FILL_SECONDS", 8));
     let mut stage = Stage::new("acknowledgements");
     std::fs::write(stage.folder.join("config.json"), config(&stage, 23_000)).unwrap();
     let head = "admin: {listen: ADMIN, tokens: [{token: all}]}\n";
     stage.write_fronts(head);
     platform(stage.listener("platform"), Shared::default());
-    // Partners that take 3 s: all slots are taken, and what is held stays so.
+    // The endpoint takes 3 s per call: all slots are in use, and the number of held messages stays high.
     serve(stage.listener("s1"), |_, _, _| {
         thread::sleep(Duration::from_secs(3));
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned()
     });
     stage.start();
-    let heard = Arc::new(Mutex::new(Histogram::<u64>::new(3).unwrap()));
-    let (stop, next) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-    let one = |number| {
-        let (at, stop, next, heard) = (stage.listen, stop.clone(), next.clone(), heard.clone());
-        thread::spawn(move || client(number, at, stop, next, heard))
+    let latencies = Arc::new(Mutex::new(Histogram::<u64>::new(3).unwrap()));
+    let (stop, next_id) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let start_client = |number| {
+        let (at, stop, next_id, latencies) = (stage.listen, stop.clone(), next_id.clone(), latencies.clone());
+        thread::spawn(move || client(number, at, stop, next_id, latencies))
     };
-    let clients: Vec<_> = (0..CLIENTS).map(one).collect();
-    thread::sleep(fill);
+    let clients: Vec<_> = (0..CLIENTS).map(start_client).collect();
+    thread::sleep(fill_time);
     let held = || ask(stage.admin, "GET", "/v1/tenants/acme", "", "").unwrap().1;
     println!("held before: {}", held().trim());
-    let mut sides = [(); 3].map(|()| Histogram::<u64>::new(3).unwrap());
-    let (mut took, mut slots, mut aim) = (Histogram::<u64>::new(3).unwrap(), 1_000, 30_000);
+    // Without changes, with changes of times, and with changes of slots.
+    let mut by_kind = [(); 3].map(|()| Histogram::<u64>::new(3).unwrap());
+    let (mut change_times, mut slots, mut target_ms) = (Histogram::<u64>::new(3).unwrap(), 1_000, 30_000);
     for _ in 0..ROUNDS {
-        for (changes, side) in sides.iter_mut().enumerate() {
-            heard.lock().unwrap().reset();
-            let until = Instant::now() + ROUND;
+        for (kind, histogram) in by_kind.iter_mut().enumerate() {
+            latencies.lock().unwrap().reset();
+            let until = Instant::now() + ROUND_DURATION;
             while Instant::now() < until {
-                thread::sleep(BETWEEN_CHANGES);
-                if changes == 0 {
+                thread::sleep(CHANGE_INTERVAL);
+                if kind == 0 {
                     continue;
                 }
-                // Of the times alone, or of what is let in and out, too: 24 more or fewer each time.
-                match changes {
-                    1 => aim = 60_001 - aim,
+                // Changes the target time, or the slots and the limit of held messages by 24 up or down.
+                match kind {
+                    1 => target_ms = 60_001 - target_ms,
                     _ => slots = 2_024 - slots,
                 }
                 let classes =
-                    format!("{{name: note, effect: retryable, aim_ms: {aim}, deadline_ms: 600000}}");
+                    format!("{{name: note, effect: retryable, aim_ms: {target_ms}, deadline_ms: 600000}}");
                 let file = stage.filled(&format!(
                     "{head}limits: {{slots: {slots}, held_messages: {}}}\nclasses: [{classes}]\n",
                     22_000 + slots
@@ -99,39 +102,39 @@
                 let version = ask(stage.admin, "GET", "/v1/config", "", "").unwrap().1;
                 let version: serde_json::Value = serde_json::from_str(&version).unwrap();
                 let tag = format!("If-Match: \"{}\"\r\n", version["number"]);
-                let (status, told) = ask(stage.admin, "POST", "/v1/config/apply", &tag, &file).unwrap();
-                assert_eq!(status, 200, "{told}");
-                let told: serde_json::Value = serde_json::from_str(&told).unwrap();
-                took.record(told["took_us"].as_u64().unwrap()).unwrap();
+                let (status, body) = ask(stage.admin, "POST", "/v1/config/apply", &tag, &file).unwrap();
+                assert_eq!(status, 200, "{body}");
+                let body: serde_json::Value = serde_json::from_str(&body).unwrap();
+                change_times.record(body["took_us"].as_u64().unwrap()).unwrap();
             }
-            side.add(&*heard.lock().unwrap()).unwrap();
+            histogram.add(&*latencies.lock().unwrap()).unwrap();
         }
     }
     println!("held after: {}", held().trim());
     stop.store(true, SeqCst);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    println!("{:<12} {:>9} {:>8} {:>8} {:>8} {:>8}", "", "answers", "p50 us", "p99 us", "p99.9", "most");
-    for (name, side) in ["no change", "times", "slots"].iter().zip(&sides) {
-        let at = |quantile| side.value_at_quantile(quantile);
+    println!("{:<12} {:>9} {:>8} {:>8} {:>8} {:>8}", "", "answers", "p50 us", "p99 us", "p99.9", "max");
+    for (name, histogram) in ["no change", "times", "slots"].iter().zip(&by_kind) {
+        let quantile = |quantile| histogram.value_at_quantile(quantile);
         println!(
             "{name:<12} {:>9} {:>8} {:>8} {:>8} {:>8}",
-            side.len(),
-            at(0.5),
-            at(0.99),
-            at(0.999),
-            side.max()
+            histogram.len(),
+            quantile(0.5),
+            quantile(0.99),
+            quantile(0.999),
+            histogram.max()
         );
     }
-    let p99 = |side: &Histogram<u64>| side.value_at_quantile(0.99) as f64;
-    for (name, side) in ["times", "slots"].iter().zip(&sides[1..]) {
-        let (every, ratio) = (BETWEEN_CHANGES.as_millis(), p99(side) / p99(&sides[0]));
-        println!("p99 with a change of {name} every {every} ms over that without: {ratio:.3}");
+    let p99 = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.99) as f64;
+    for (name, histogram) in ["times", "slots"].iter().zip(&by_kind[1..]) {
+        let (interval_ms, ratio) = (CHANGE_INTERVAL.as_millis(), p99(histogram) / p99(&by_kind[0]));
+        println!("p99 with a change of {name} every {interval_ms} ms relative to no change: {ratio:.3}");
     }
     println!(
-        "{} changes: p50 {} us, p99 {} us, most {} us",
-        took.len(),
-        took.value_at_quantile(0.5),
-        took.value_at_quantile(0.99),
-        took.max()
+        "{} changes: p50 {} us, p99 {} us, max {} us",
+        change_times.len(),
+        change_times.value_at_quantile(0.5),
+        change_times.value_at_quantile(0.99),
+        change_times.max()
     );
 }
--- a/benches/turn.rs
+++ b/benches/turn.rs
@@ -1,9 +1,12 @@
-//! The cost of a turn of the core, with the module in it, by how many messages are held: `cargo bench --bench turn`.
+//! The cost of a loop iteration of the engine, including the dispatcher, by the number of held messages:
+//! `cargo bench --bench turn`.
 //!
-//! 200 destinations, 1,024 slots. In each turn one call is answered, and one message is handed in, so that as many stay
-//! held. `slow` has all slots taken, as partners that take seconds make it; `waiting` has most partners in a told wait.
-//! `tenants` is `slow` with 1,000 held for so many tenants, one in a hundred of them busy; `gate` is the choice of the next
-//! tenant alone, with a call's begin and end, for so many that wait.
+//! There are 200 destinations and 1,024 slots. In each iteration one call is answered and one message is
+//! submitted, so that the number of held messages stays the same. In `slow` all slots are in use, as with
+//! endpoints that take seconds; in `waiting` most destinations are in a retry-after. `tenants` is `slow` with
+//! 1,000 held messages, by the number of tenants; one in a hundred tenants is busy. `gate` is only the fair
+//! scheduler's choice of the next tenant, with the start and the end of a call, by the number of waiting
+//! tenants.
 
 use cedarwharf::config::model::Core;
 use cedarwharf::engine::{Engine, Input, Offer, Output, Resume};
@@ -21,17 +24,19 @@
 
 const DESTINATIONS: u64 = 200;
 
-struct Rig {
+/// An engine with a clock and the calls that it has started.
+struct Bench {
     engine: Engine,
     folder: PathBuf,
     now: Micros,
-    out: VecDeque<(u64, usize)>,
-    next: u64,
-    /// Tenants that offer anything.
-    busy: u64,
+    /// Calls in flight, and the number of messages in each.
+    calls: VecDeque<(u64, usize)>,
+    submissions: u64,
+    /// Tenants that submit messages.
+    busy_tenants: u64,
 }
 
-impl Drop for Rig {
+impl Drop for Bench {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -75,17 +80,17 @@
     }
 }
 
-impl Rig {
-    fn new(name: &str, slots: u32, tenants: usize) -> Rig {
+impl Bench {
+    fn new(name: &str, slots: u32, tenants: usize) -> Bench {
         let folder = std::env::temp_dir().join(format!("cedarwharf-bench-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let told = settings(slots);
+        let settings = settings(slots);
         let isolation = vec![Isolation::default(); tenants];
         let core = Core {
-            settings: Settings { tenants: vec![1e6; tenants], isolation, ..told },
+            settings: Settings { tenants: vec![1e6; tenants], isolation, ..settings },
             classes: vec!["note".into(), "payment".into()],
-            tenants: (0..tenants).map(|place| format!("t{place}")).collect(),
+            tenants: (0..tenants).map(|index| format!("t{index}")).collect(),
             held_bytes: None,
         };
         let list = (0..DESTINATIONS).map(|number| EndpointRecord {
@@ -98,20 +103,21 @@
         });
         let now = Micros(1_000_000_000);
         let engine = Engine::start(&core, 5, (&folder, 1 << 30), now, list.collect(), Resume::AtOnce);
-        Rig { engine, folder, now, out: VecDeque::new(), next: 0, busy: (tenants as u64).div_ceil(100) }
+        let busy_tenants = (tenants as u64).div_ceil(100);
+        Bench { engine, folder, now, calls: VecDeque::new(), submissions: 0, busy_tenants }
     }
 
-    fn offer(&mut self) -> Input {
-        self.next += 1;
+    fn submit(&mut self) -> Input {
+        self.submissions += 1;
         Input::Offer(Offer {
-            token: self.next,
+            token: self.submissions,
             front: 0,
             space: Space::Tenant,
             tell_delivered: false,
-            tenant: (self.next % self.busy) as usize,
-            class: (self.next % 2) as usize,
-            destination: DestinationId(self.next * 7 % DESTINATIONS),
-            id: format!("m{}", self.next).into_bytes().into(),
+            tenant: (self.submissions % self.busy_tenants) as usize,
+            class: (self.submissions % 2) as usize,
+            destination: DestinationId(self.submissions * 7 % DESTINATIONS),
+            id: format!("m{}", self.submissions).into_bytes().into(),
             key: None,
             time_left: Micros(3_600_000_000),
             again: false,
@@ -120,27 +126,27 @@
         })
     }
 
-    fn turn(&mut self, inputs: Vec<Input>) {
+    fn iterate(&mut self, inputs: Vec<Input>) {
         self.now = self.now.plus(Micros(200));
         for output in self.engine.turn(self.now, inputs) {
             if let Output::Call { call, items, .. } = output {
-                self.out.push_back((call, items.len()));
+                self.calls.push_back((call, items.len()));
             }
         }
     }
 
     fn answer(&mut self, outcome: AttemptOutcome) -> Vec<Input> {
-        let Some((call, items)) = self.out.pop_front() else { return Vec::new() };
-        let over = outcome == AttemptOutcome::Delivered;
-        let results = (0..items).map(|place| (place, outcome, over)).collect();
+        let Some((call, items)) = self.calls.pop_front() else { return Vec::new() };
+        let closed = outcome == AttemptOutcome::Delivered;
+        let results = (0..items).map(|index| (index, outcome, closed)).collect();
         vec![Input::Written(call), Input::Answered { call, results, wait: None }]
     }
 
-    /// One answered, one handed in.
+    /// One iteration with an answered call and a submitted message.
     fn step(&mut self) {
         let mut inputs = self.answer(AttemptOutcome::Delivered);
-        inputs.push(self.offer());
-        self.turn(inputs);
+        inputs.push(self.submit());
+        self.iterate(inputs);
     }
 }
 
@@ -148,68 +154,68 @@
 
 #[divan::bench(args = HELD, sample_count = 50, sample_size = 20)]
 fn slow(bencher: divan::Bencher, held: usize) {
-    let mut rig = Rig::new(&format!("slow{held}"), (held as u32 / 2).min(1_024), 1);
-    while rig.engine.flows().count() < held {
-        let offers: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
-        rig.turn(offers);
+    let mut bench = Bench::new(&format!("slow{held}"), (held as u32 / 2).min(1_024), 1);
+    while bench.engine.flows().count() < held {
+        let submissions: Vec<Input> = (0..100).map(|_| bench.submit()).collect();
+        bench.iterate(submissions);
     }
-    bencher.bench_local(|| rig.step());
+    bencher.bench_local(|| bench.step());
 }
 
 #[divan::bench(args = HELD, sample_count = 50, sample_size = 20)]
 fn waiting(bencher: divan::Bencher, held: usize) {
-    let mut rig = Rig::new(&format!("waiting{held}"), 1_024, 1);
-    // Each partner turns its first call away and tells a long wait; one in ten does not.
+    let mut bench = Bench::new(&format!("waiting{held}"), 1_024, 1);
+    // Nine in ten destinations reject their first call with a long retry-after.
     for _ in 0..DESTINATIONS {
-        let offer = rig.offer();
-        rig.turn(vec![offer]);
+        let submission = bench.submit();
+        bench.iterate(vec![submission]);
     }
     let wait = Some(Micros(1_000_000_000));
-    for (place, (call, _)) in std::mem::take(&mut rig.out).into_iter().enumerate() {
-        let outcome = if place % 10 == 0 {
+    for (index, (call, _)) in std::mem::take(&mut bench.calls).into_iter().enumerate() {
+        let outcome = if index % 10 == 0 {
             AttemptOutcome::Delivered
         } else {
             AttemptOutcome::Rejected { retry_after: wait }
         };
         let results = vec![(0, outcome, outcome == AttemptOutcome::Delivered)];
         let wait = wait.filter(|_| outcome != AttemptOutcome::Delivered);
-        rig.turn(vec![Input::Written(call), Input::Answered { call, results, wait }]);
+        bench.iterate(vec![Input::Written(call), Input::Answered { call, results, wait }]);
     }
-    while rig.engine.flows().count() < held {
-        let mut inputs: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
-        while !rig.out.is_empty() {
-            inputs.extend(rig.answer(AttemptOutcome::Delivered));
+    while bench.engine.flows().count() < held {
+        let mut inputs: Vec<Input> = (0..100).map(|_| bench.submit()).collect();
+        while !bench.calls.is_empty() {
+            inputs.extend(bench.answer(AttemptOutcome::Delivered));
         }
-        rig.turn(inputs);
+        bench.iterate(inputs);
     }
-    bencher.bench_local(|| rig.step());
+    bencher.bench_local(|| bench.step());
 }
 
 #[divan::bench(args = [1, 20, 1_000], sample_count = 50, sample_size = 20)]
 fn tenants(bencher: divan::Bencher, tenants: usize) {
-    let mut rig = Rig::new(&format!("tenants{tenants}"), 500, tenants);
-    while rig.engine.flows().count() < 1_000 {
-        let offers: Vec<Input> = (0..100).map(|_| rig.offer()).collect();
-        rig.turn(offers);
+    let mut bench = Bench::new(&format!("tenants{tenants}"), 500, tenants);
+    while bench.engine.flows().count() < 1_000 {
+        let submissions: Vec<Input> = (0..100).map(|_| bench.submit()).collect();
+        bench.iterate(submissions);
     }
-    bencher.bench_local(|| rig.step());
+    bencher.bench_local(|| bench.step());
 }
 
 #[divan::bench(args = [1, 10, 100, 1_000], sample_count = 50, sample_size = 200)]
 fn gate(bencher: divan::Bencher, waiting: usize) {
-    let mut gate = FairScheduler::default();
-    gate.configure(1_024, &vec![Isolation::default(); 1_000]);
-    let mut out = VecDeque::new();
-    let mut step = |out: &mut VecDeque<usize>| {
-        let open = gate.eligibility(0..waiting);
-        let place = (0..waiting).find(|&place| gate.is_eligible(place, open)).unwrap_or(0);
-        gate.call_started(place, Micros(50_000));
-        out.push_back(place);
-        if out.len() > 1_000 {
-            let place = out.pop_front().unwrap_or(0);
-            gate.call_ended(place, Micros(50_000), Micros(60_000));
+    let mut scheduler = FairScheduler::default();
+    scheduler.configure(1_024, &vec![Isolation::default(); 1_000]);
+    let mut calls = VecDeque::new();
+    let mut step = |calls: &mut VecDeque<usize>| {
+        let eligibility = scheduler.eligibility(0..waiting);
+        let tenant = (0..waiting).find(|&tenant| scheduler.is_eligible(tenant, eligibility)).unwrap_or(0);
+        scheduler.call_started(tenant, Micros(50_000));
+        calls.push_back(tenant);
+        if calls.len() > 1_000 {
+            let tenant = calls.pop_front().unwrap_or(0);
+            scheduler.call_ended(tenant, Micros(50_000), Micros(60_000));
         }
     };
-    (0..2_000).for_each(|_| step(&mut out));
-    bencher.bench_local(|| step(&mut out));
+    (0..2_000).for_each(|_| step(&mut calls));
+    bencher.bench_local(|| step(&mut calls));
 }
--- a/example/toy_server.rs
+++ b/example/toy_server.rs
@@ -1,5 +1,6 @@
-//! A partner and a platform to try cedarwharf with: takes messages on 127.0.0.1:7171, answers one in four with 503,
-//! and plays discovery on 127.0.0.1:7172, where it prints the notices that come.
+//! An endpoint and a platform to try cedarwharf with. The endpoint receives messages on 127.0.0.1:7171 and
+//! answers one in four with 503. The platform serves discovery on 127.0.0.1:7172 and prints the delivery
+//! reports that it receives.
 
 use cedarwharf::net::http::{request, write_answer, Parsed, Request};
 use std::io::{Read, Write};
@@ -9,46 +10,46 @@
 
 fn main() -> std::io::Result<()> {
     let platform = TcpListener::bind("127.0.0.1:7172")?;
-    std::thread::spawn(move || serve(&platform, discovery));
-    serve(&TcpListener::bind("127.0.0.1:7171")?, partner);
+    std::thread::spawn(move || serve(&platform, answer_platform_request));
+    serve(&TcpListener::bind("127.0.0.1:7171")?, answer_message);
     Ok(())
 }
 
 fn serve(listener: &TcpListener, answer: fn(&Request, usize) -> Vec<u8>) {
     for stream in listener.incoming().flatten() {
-        std::thread::spawn(move || connection(stream, answer));
+        std::thread::spawn(move || serve_connection(stream, answer));
     }
 }
 
-fn connection(mut stream: TcpStream, answer: fn(&Request, usize) -> Vec<u8>) {
-    static NUMBER: AtomicUsize = AtomicUsize::new(0);
+fn serve_connection(mut stream: TcpStream, answer: fn(&Request, usize) -> Vec<u8>) {
+    static REQUESTS: AtomicUsize = AtomicUsize::new(0);
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
     while let Ok(count @ 1..) = stream.read(&mut chunk) {
         input.extend(&chunk[..count]);
         while let Parsed::Whole(request, used) = request(&input) {
             input.drain(..used);
-            if stream.write_all(&answer(&request, NUMBER.fetch_add(1, Relaxed))).is_err() {
+            if stream.write_all(&answer(&request, REQUESTS.fetch_add(1, Relaxed))).is_err() {
                 return;
             }
         }
     }
 }
 
-fn partner(request: &Request, number: usize) -> Vec<u8> {
+fn answer_message(request: &Request, number: usize) -> Vec<u8> {
     let id = request.headers.get("Request-Id").unwrap_or("-");
-    let full = number % 4 == 3;
+    let reject = number % 4 == 3;
     let text = String::from_utf8_lossy(&request.body);
-    println!("partner: {id} \"{text}\" {}", if full { "turned away" } else { "taken" });
+    println!("endpoint: {id} \"{text}\" {}", if reject { "rejected" } else { "accepted" });
     std::thread::sleep(Duration::from_millis(150));
-    write_answer(if full { 503 } else { 200 }, &[], b"", false)
+    write_answer(if reject { 503 } else { 200 }, &[], b"", false)
 }
 
-fn discovery(request: &Request, _: usize) -> Vec<u8> {
+fn answer_platform_request(request: &Request, _: usize) -> Vec<u8> {
     if request.method == "POST" {
-        print!("notice: {}", String::from_utf8_lossy(&request.body));
+        print!("delivery report: {}", String::from_utf8_lossy(&request.body));
         return write_answer(204, &[], b"", false);
     }
-    // Nothing ever changes here: each watch is held for a while.
+    // The endpoint list never changes, so each watch is held for three seconds and answered without changes.
     std::thread::sleep(Duration::from_secs(3));
     write_answer(200, &[], br#"{"generation":1,"reset":false,"instances":[]}"#, false)
 }
--- a/src/cli/maintenance.rs
+++ b/src/cli/maintenance.rs
@@ -1,5 +1,5 @@
-//! `cedarwharf maintenance ...`: requests, shows and cancels maintenance plans over the operators' listener of
-//! any forwarder.
+//! `cedarwharf maintenance ...`: requests, shows and cancels maintenance plans over the operators' listener
+//! of any forwarder.
 
 use super::{duration, Exit, Output};
 use cedarwharf::maintenance::request::{Request, Set};
