--- a/src/cli/lab.rs
+++ b/src/cli/lab.rs
@@ -42,7 +42,7 @@
     /// Longest time in seconds that each forwarder is out of service; the work takes 30% to 80% of it
     #[arg(long, default_value_t = 20.0)]
     window_s: f64,
-    /// Most seconds of simulated time after the request
+    /// Longest simulated time after the request, in seconds
     #[arg(long, default_value_t = 3600.0)]
     duration_s: f64,
     /// Print the report on one line (by default it is indented)
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -123,7 +123,7 @@
     /// Bound: largest share of submissions that may be rejected, 0 to 1
     #[arg(long)]
     turn_downs: Option<f64>,
-    /// Bound: most milliseconds that a loop iteration may take
+    /// Bound: longest loop iteration in milliseconds
     #[arg(long)]
     turn_ms: Option<f64>,
 }
@@ -133,11 +133,18 @@
     /// Show the version in force and its values
     Show,
     /// Show what a file, or the staged candidate, would change
-    Diff { file: Option<PathBuf> },
+    Diff {
+        /// The operators' file (YAML); by default the staged candidate
+        file: Option<PathBuf>,
+    },
     /// Store a file as the candidate
-    Stage { file: PathBuf },
+    Stage {
+        /// The operators' file (YAML)
+        file: PathBuf,
+    },
     /// Put a file, or the staged candidate, in force
     Apply {
+        /// The operators' file (YAML); by default the staged candidate
         file: Option<PathBuf>,
         /// Version that the file is based on; by default the one in force when the command starts
         #[arg(long)]
@@ -152,6 +159,7 @@
     Confirm,
     /// Go back to an earlier version; by default the previous one
     Undo {
+        /// Number of the version
         to: Option<u64>,
         /// Reason for the change, kept in the history
         #[arg(long, default_value = "")]
