--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -10,17 +10,18 @@
     let other = DestinationId(8);
     let mut settings = settings();
     settings.slots = 1;
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0), member(2, other, 10.0)]);
-    sender.message(1, SAFE, None);
-    sender.settle(1, 0, AttemptOutcome::Delivered);
-    sender.message(2, UNSAFE, None);
-    let mut actions = sender.message_for(3, SAFE, None, other);
-    actions.extend(sender.wait(1_000));
+    let mut forwarder =
+        TestForwarder::new(settings, vec![endpoint_record(1, HOME, 10.0), endpoint_record(2, other, 10.0)]);
+    forwarder.submit(1, SAFE, None);
+    forwarder.end_attempt(1, 0, AttemptOutcome::Delivered);
+    forwarder.submit(2, UNSAFE, None);
+    let mut actions = forwarder.submit_to(3, SAFE, None, other);
+    actions.extend(forwarder.advance(1_000));
     assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "not before the target time");
-    actions = sender.wait(2_000);
+    actions = forwarder.advance(2_000);
     assert!(actions.contains(&Action::Cancel { id: MessageId(2), attempt: 0 }));
-    actions = [sender.settle(2, 0, AttemptOutcome::Cancelled), sender.wait(50)].concat();
-    assert!(failed(&actions, 2) && sends(&actions) == [3]);
+    actions = [forwarder.end_attempt(2, 0, AttemptOutcome::Cancelled), forwarder.advance(50)].concat();
+    assert!(is_failed(&actions, 2) && sent_ids(&actions) == [3]);
 }
 
 /// Guards against a call being cancelled as hanging, and its repeatable message sent again, after twice the 1
@@ -30,14 +31,15 @@
     let other = DestinationId(8);
     let mut settings = settings();
     settings.slots = 1;
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0), member(2, other, 10.0)]);
-    sender.message(1, SAFE, None);
-    sender.settle_after(1, 0, AttemptOutcome::Delivered, 1);
-    sender.message(2, SAFE, None);
-    let mut actions = sender.message_for(3, SAFE, None, other);
-    actions.extend(sender.wait(300));
+    let mut forwarder =
+        TestForwarder::new(settings, vec![endpoint_record(1, HOME, 10.0), endpoint_record(2, other, 10.0)]);
+    forwarder.submit(1, SAFE, None);
+    forwarder.end_attempt_after(1, 0, AttemptOutcome::Delivered, 1);
+    forwarder.submit(2, SAFE, None);
+    let mut actions = forwarder.submit_to(3, SAFE, None, other);
+    actions.extend(forwarder.advance(300));
     assert!(!actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{actions:?}");
-    actions = sender.wait(300);
+    actions = forwarder.advance(300);
     assert!(
         actions.contains(&Action::Cancel { id: MessageId(2), attempt: 0 }),
         "after more than the initial T1: {actions:?}"
@@ -57,21 +59,21 @@
         forwarder.now = forwarder.now.plus(ms(10));
         forwarder.end_attempt_after(id, 0, AttemptOutcome::Delivered, 1);
     }
-    sender.message(2, SAFE, None);
-    let mut actions = sender.message_for(3, SAFE, None, other);
-    actions.extend(sender.wait(10));
+    forwarder.submit(2, SAFE, None);
+    let mut actions = forwarder.submit_to(3, SAFE, None, other);
+    actions.extend(forwarder.advance(10));
     assert!(!actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{actions:?}");
-    actions = sender.wait(20);
+    actions = forwarder.advance(20);
     assert!(actions.contains(&Action::Cancel { id: MessageId(2), attempt: 0 }), "{actions:?}");
 }
 
 /// Guards against incident i73f6d2: connections that had been idle for about a second were dead.
 #[test]
 fn idle_connection_is_closed_before_use_after_resets_on_idle_connections() {
-    let mut sender = Sender::simple();
+    let mut forwarder = TestForwarder::with_one_endpoint();
     let mut closed_at = None;
     for id in 0..12 {
-        let actions = sender.message(id, SAFE, None);
+        let actions = forwarder.submit(id, SAFE, None);
         let close = actions.iter().position(|a| *a == Action::CloseIdle(EndpointId(1)));
         let send = actions.iter().position(|a| matches!(a, Action::Send { .. }));
         if let (Some(close), Some(send)) = (close, send) {
@@ -109,31 +111,31 @@
 #[test]
 fn weights_out_of_range_do_not_stop_calls_to_a_destination() {
     for weight in [0.0, f64::NAN, f64::INFINITY, -3.0, 1e300] {
-        let mut sender = Sender::new(settings(), vec![member(1, HOME, weight)]);
-        let mut actions = sender.message(1, SAFE, None);
-        actions.extend(sender.settle_after(1, 0, AttemptOutcome::Rejected { retry_after: None }, 0));
-        actions.extend(sender.wait(9_000));
-        assert!(sends(&actions).len() > 1, "weight {weight}: {actions:?}");
+        let mut forwarder = TestForwarder::new(settings(), vec![endpoint_record(1, HOME, weight)]);
+        let mut actions = forwarder.submit(1, SAFE, None);
+        actions.extend(forwarder.end_attempt_after(1, 0, AttemptOutcome::Rejected { retry_after: None }, 0));
+        actions.extend(forwarder.advance(9_000));
+        assert!(sent_ids(&actions).len() > 1, "weight {weight}: {actions:?}");
     }
 }
 
 #[test]
 fn attempt_outcomes_and_withdrawals_of_unknown_messages_are_ignored() {
-    let mut sender = Sender::simple();
-    assert!(sender.settle(99, 3, AttemptOutcome::TimedOut).is_empty());
-    assert!(sender.hear(Event::Withdrawn(MessageId(99))).is_empty());
-    assert_eq!(sends(&sender.message(1, SAFE, None)), [1]);
+    let mut forwarder = TestForwarder::with_one_endpoint();
+    assert!(forwarder.end_attempt(99, 3, AttemptOutcome::TimedOut).is_empty());
+    assert!(forwarder.handle(Event::Withdrawn(MessageId(99))).is_empty());
+    assert_eq!(sent_ids(&forwarder.submit(1, SAFE, None)), [1]);
 }
 
 #[test]
 fn message_without_time_left_is_rejected_at_once() {
-    let mut sender = Sender::simple();
-    let actions = sender.hear(handed_in(1, HOME, Micros(0), UNSAFE, None));
-    assert!(sends(&actions).is_empty() && refused(&actions, 1));
+    let mut forwarder = TestForwarder::with_one_endpoint();
+    let actions = forwarder.handle(message_event(1, HOME, Micros(0), UNSAFE, None));
+    assert!(sent_ids(&actions).is_empty() && is_rejected(&actions, 1));
 }
 
 /// One of sixty forwarders that call a destination with a capacity of four calls per second.
-fn forwarder_of_sixty(seed: u64) -> Sender {
+fn forwarder_of_sixty(seed: u64) -> TestForwarder {
     let mut settings = settings();
     settings.forwarders = 60;
     let mut forwarder = TestForwarder::new(settings.clone(), Vec::new());
@@ -148,10 +150,10 @@
 fn one_failure_opens_the_circuit_when_the_forwarders_share_of_a_destination_is_small() {
     let (mut calls, mut calling_forwarders) = (0, 0);
     for seed in 0..60u32 {
-        let mut sender = forwarder_of_sixty(u64::from(seed));
-        sender.message(1, SAFE, None);
-        sender.settle_after(1, 0, AttemptOutcome::ConnectFailed, 50);
-        let sent = sends(&sender.wait(2_500)).len();
+        let mut forwarder = forwarder_of_sixty(u64::from(seed));
+        forwarder.submit(1, SAFE, None);
+        forwarder.end_attempt_after(1, 0, AttemptOutcome::ConnectFailed, 50);
+        let sent = sent_ids(&forwarder.advance(2_500)).len();
         calls += sent;
         calling_forwarders += usize::from(sent > 0);
     }
@@ -164,18 +166,22 @@
 /// and the destination rejects calls without a retry-after.
 #[test]
 fn repeated_rejections_by_a_rarely_called_destination_reduce_the_send_rate_sharply() {
-    let mut sender = forwarder_of_sixty(1);
-    sender.message(1, SAFE, None);
-    let (mut attempts, mut times) = (0, vec![sender.now]);
+    let mut forwarder = forwarder_of_sixty(1);
+    forwarder.submit(1, SAFE, None);
+    let (mut attempts, mut times) = (0, vec![forwarder.now]);
     for _ in 0..1_100 {
-        let actions = if sends(&sender.said).is_empty() { sender.wait(10) } else { sender.said.clone() };
-        if !sends(&actions).is_empty() {
-            times.push(sender.now);
-            sender.said.clear();
+        let actions = if sent_ids(&forwarder.actions).is_empty() {
+            forwarder.advance(10)
+        } else {
+            forwarder.actions.clone()
+        };
+        if !sent_ids(&actions).is_empty() {
+            times.push(forwarder.now);
+            forwarder.actions.clear();
             let actions =
-                sender.settle_after(1, attempts, AttemptOutcome::Rejected { retry_after: None }, 40);
-            assert!(sends(&actions).is_empty());
-            sender.said.clear();
+                forwarder.end_attempt_after(1, attempts, AttemptOutcome::Rejected { retry_after: None }, 40);
+            assert!(sent_ids(&actions).is_empty());
+            forwarder.actions.clear();
             attempts += 1;
         }
     }
@@ -188,19 +194,20 @@
 fn idle_connections_that_die_without_a_reset_are_closed_before_use() {
     let mut settings = settings();
     settings.slots = 4;
-    let endpoints: Vec<EndpointRecord> = (1..=6).map(|n| member(n, DestinationId(n), 20.0)).collect();
-    let mut sender = Sender::new(settings, endpoints);
+    let endpoints: Vec<EndpointRecord> =
+        (1..=6).map(|n| endpoint_record(n, DestinationId(n), 20.0)).collect();
+    let mut forwarder = TestForwarder::new(settings, endpoints);
     let (mut id, mut closed, mut lost) = (0, 0, 0);
     for round in 0..12 {
         for destination in 1..=6 {
-            let actions = sender.message_for(id, SAFE, None, DestinationId(destination));
+            let actions = forwarder.submit_to(id, SAFE, None, DestinationId(destination));
             let new_connection = round == 0 || actions.contains(&Action::CloseIdle(EndpointId(destination)));
             closed += usize::from(new_connection && round > 0);
-            if sends(&actions) == [id] && !new_connection {
+            if sent_ids(&actions) == [id] && !new_connection {
                 lost += 1;
-                sender.settle_after(id, 0, AttemptOutcome::TimedOut, 900);
-                sender.wait(3_000);
-                sender.settle_after(id, 1, AttemptOutcome::Delivered, 60);
+                forwarder.end_attempt_after(id, 0, AttemptOutcome::TimedOut, 900);
+                forwarder.advance(3_000);
+                forwarder.end_attempt_after(id, 1, AttemptOutcome::Delivered, 60);
             } else {
                 forwarder.end_attempt_after(id, 0, AttemptOutcome::Delivered, 60);
             }
@@ -216,16 +223,16 @@
 /// idle connections.
 #[test]
 fn timeouts_on_new_connections_open_the_circuit() {
-    let mut sender = Sender::simple();
-    sender.message(1, SAFE, None);
-    sender.settle(1, 0, AttemptOutcome::Delivered);
-    sender.wait(1_500);
-    let mut actions = sender.message(2, SAFE, None);
+    let mut forwarder = TestForwarder::with_one_endpoint();
+    forwarder.submit(1, SAFE, None);
+    forwarder.end_attempt(1, 0, AttemptOutcome::Delivered);
+    forwarder.advance(1_500);
+    let mut actions = forwarder.submit(2, SAFE, None);
     for attempt in 0..3 {
-        while !sends(&actions).contains(&2) {
-            actions = sender.wait(10);
+        while !sent_ids(&actions).contains(&2) {
+            actions = forwarder.advance(10);
         }
-        actions = sender.settle_after(2, attempt, AttemptOutcome::TimedOut, 900);
+        actions = forwarder.end_attempt_after(2, attempt, AttemptOutcome::TimedOut, 900);
         if actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("destination out"))) {
             return;
         }
@@ -236,7 +243,7 @@
 /// The records in memory depend on the live messages, keys and endpoints, not on those of the past.
 #[test]
 fn memory_is_bounded_by_live_messages_keys_and_endpoints() {
-    let mut sender = Sender::simple();
+    let mut forwarder = TestForwarder::with_one_endpoint();
     let mut peak = 0;
     for id in 0..4_000u32 {
         let (now, old) = (u64::from(id / 20), u64::from(id / 20).saturating_sub(1));
@@ -249,13 +256,13 @@
             forwarder.handle(Event::EndpointRecords(ListScope::Changes, vec![gone, new]));
         }
         let outcome = if id % 7 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Delivered };
-        sender.message_for(id, ORDERED, Some(u64::from(id) + 1), DestinationId(now));
-        sender.settle_after(id, 0, outcome, 40);
-        sender.wait(100);
-        peak = peak.max(sender.dispatcher.records_in_memory());
+        forwarder.submit_to(id, ORDERED, Some(u64::from(id) + 1), DestinationId(now));
+        forwarder.end_attempt_after(id, 0, outcome, 40);
+        forwarder.advance(100);
+        peak = peak.max(forwarder.dispatcher.records_in_memory());
     }
     assert!(peak < 1_200, "{peak} records after 4000 messages, 4000 keys, 200 endpoints");
-    assert!(sender.settle(1, 0, AttemptOutcome::TimedOut).is_empty(), "a late outcome is ignored");
+    assert!(forwarder.end_attempt(1, 0, AttemptOutcome::TimedOut).is_empty(), "a late outcome is ignored");
 }
 
 /// Capacity runs short while one tenant submits far more than its share. Its submissions beyond the share are
@@ -264,9 +271,9 @@
 fn tenant_beyond_its_share_is_rejected_first_and_no_accepted_message_is_ended() {
     let mut settings = settings();
     (settings.tenants, settings.forwarders, settings.max_messages) = (vec![0.5, 0.5], 1, 40);
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0)]);
-    sender.message(0, SAFE, None);
-    sender.settle(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
+    let mut forwarder = TestForwarder::new(settings, vec![endpoint_record(1, HOME, 10.0)]);
+    forwarder.submit(0, SAFE, None);
+    forwarder.end_attempt(0, 0, AttemptOutcome::Rejected { retry_after: Some(ms(2_500)) });
     let mut rejected_of = [0, 0];
     for submitted in 1..60u32 {
         let tenant = usize::from(submitted % 6 == 0);
@@ -287,17 +294,17 @@
 fn message_with_little_time_left_is_not_late_but_a_resubmitted_one_is() {
     let mut settings = settings();
     settings.slots = 1;
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 10.0)]);
-    sender.message(1, SAFE, None);
+    let mut forwarder = TestForwarder::new(settings, vec![endpoint_record(1, HOME, 10.0)]);
+    forwarder.submit(1, SAFE, None);
     let submission = |time_left, resubmitted| {
         let (destination, class) = (HOME, SAFE);
         Submission { destination, time_left, class, key: None, tenant: 0, resubmitted }
     };
-    sender.hear(Event::Message(MessageId(2), submission(ms(9_000), true)));
-    sender.hear(Event::Message(MessageId(3), submission(ms(1_500), false)));
-    sender.wait(1_200);
-    let actions = [sender.settle(1, 0, AttemptOutcome::Delivered), sender.wait(100)].concat();
-    assert_eq!(sends(&actions).first(), Some(&3), "the resubmitted message is the late one");
+    forwarder.handle(Event::Message(MessageId(2), submission(ms(9_000), true)));
+    forwarder.handle(Event::Message(MessageId(3), submission(ms(1_500), false)));
+    forwarder.advance(1_200);
+    let actions = [forwarder.end_attempt(1, 0, AttemptOutcome::Delivered), forwarder.advance(100)].concat();
+    assert_eq!(sent_ids(&actions).first(), Some(&3), "the resubmitted message is the late one");
 }
 
 /// Guards against a failure in the simulation of three deployments: endpoints accept few connections,
@@ -310,28 +317,31 @@
     endpoints[1].kind = 1;
     let mut crowded = settings();
     crowded.forwarders = 20;
-    let mut sender = Sender::new(crowded, endpoints);
+    let mut forwarder = TestForwarder::new(crowded, endpoints);
     let closes = |actions: &[Action], id| actions.contains(&Action::CloseIdle(EndpointId(id)));
-    sender.message(1, SAFE, None);
-    assert!(!closes(&sender.settle(1, 0, AttemptOutcome::Delivered), 1), "kept while no connection fails");
-    sender.wait(500);
-    sender.message(2, SAFE, None);
-    sender.settle(2, 0, AttemptOutcome::ConnectFailed);
-    while sends(&sender.said).is_empty() {
-        sender.wait(10);
+    forwarder.submit(1, SAFE, None);
+    assert!(
+        !closes(&forwarder.end_attempt(1, 0, AttemptOutcome::Delivered), 1),
+        "kept while no connection fails"
+    );
+    forwarder.advance(500);
+    forwarder.submit(2, SAFE, None);
+    forwarder.end_attempt(2, 0, AttemptOutcome::ConnectFailed);
+    while sent_ids(&forwarder.actions).is_empty() {
+        forwarder.advance(10);
     }
     assert!(
-        closes(&sender.settle(2, 1, AttemptOutcome::Delivered), 1),
+        closes(&forwarder.end_attempt(2, 1, AttemptOutcome::Delivered), 1),
         "closed after use once a new connection fails"
     );
-    sender.message_for(3, SAFE, None, other);
+    forwarder.submit_to(3, SAFE, None, other);
     assert!(
-        !closes(&sender.settle(3, 0, AttemptOutcome::Delivered), 2),
+        !closes(&forwarder.end_attempt(3, 0, AttemptOutcome::Delivered), 2),
         "connections to another kind of endpoint are kept"
     );
-    sender.wait(120_000);
-    sender.message(4, SAFE, None);
-    assert!(!closes(&sender.settle(4, 0, AttemptOutcome::Delivered), 1), "kept again after a while");
+    forwarder.advance(120_000);
+    forwarder.submit(4, SAFE, None);
+    assert!(!closes(&forwarder.end_attempt(4, 0, AttemptOutcome::Delivered), 1), "kept again after a while");
 }
 
 /// Guards against a failure of the large fleet in the simulator: half of the destinations had their tables
@@ -343,12 +353,14 @@
     (crowded.forwarders, crowded.weights) = (20, Weights::Absent);
     let mut forwarder = TestForwarder::new(crowded, vec![endpoint_record(1, HOME, 1.0)]);
     for id in 0..8 {
-        sender.message(id, SAFE, None);
-        let actions =
-            [sender.settle_after(id, 0, AttemptOutcome::ConnectionLimitReached, 5), sender.wait(1_000)]
-                .concat();
-        assert_eq!(sends(&actions), [id], "the message is sent again");
-        let actions = sender.settle(id, 1, AttemptOutcome::Delivered);
+        forwarder.submit(id, SAFE, None);
+        let actions = [
+            forwarder.end_attempt_after(id, 0, AttemptOutcome::ConnectionLimitReached, 5),
+            forwarder.advance(1_000),
+        ]
+        .concat();
+        assert_eq!(sent_ids(&actions), [id], "the message is sent again");
+        let actions = forwarder.end_attempt(id, 1, AttemptOutcome::Delivered);
         assert!(
             actions.contains(&Action::CloseIdle(EndpointId(1))),
             "message {id}: the connection was not closed"
@@ -356,7 +368,7 @@
         assert!(!actions.iter().any(|one| matches!(one, Action::Log(_))), "{actions:?}");
     }
     // No call was rejected, so a burst is sent at once, one message per slot.
-    let burst: usize = (20..26).map(|id| sends(&sender.message(id, SAFE, None)).len()).sum();
+    let burst: usize = (20..26).map(|id| sent_ids(&forwarder.submit(id, SAFE, None)).len()).sum();
     assert_eq!(burst, 6);
 }
 
@@ -367,9 +379,9 @@
     for (forwarders, closed) in [(3, false), (100, true)] {
         let mut fleet = settings();
         fleet.forwarders = forwarders;
-        let mut sender = Sender::new(fleet, vec![member(1, HOME, 10.0)]);
-        sender.message(1, SAFE, None);
-        let actions = sender.settle(1, 0, AttemptOutcome::Delivered);
+        let mut forwarder = TestForwarder::new(fleet, vec![endpoint_record(1, HOME, 10.0)]);
+        forwarder.submit(1, SAFE, None);
+        let actions = forwarder.end_attempt(1, 0, AttemptOutcome::Delivered);
         assert_eq!(actions.contains(&Action::CloseIdle(EndpointId(1))), closed, "{forwarders} forwarders");
     }
 }
@@ -379,16 +391,16 @@
 fn rejections_with_a_report_of_no_allowance_left_do_not_open_the_circuit() {
     for (left, out) in [(0.0, false), (0.9, true)] {
         let settings = Settings { weights: Weights::Absent, max_attempts: 20, ..settings() };
-        let mut sender = Sender::new(settings, vec![member(1, HOME, 1.0)]);
-        let mut actions = sender.hear(handed_in(1, HOME, ms(600_000), SAFE, None));
+        let mut forwarder = TestForwarder::new(settings, vec![endpoint_record(1, HOME, 1.0)]);
+        let mut actions = forwarder.handle(message_event(1, HOME, ms(600_000), SAFE, None));
         let mut all = Vec::new();
         for attempt in 0..6 {
-            assert!(sends(&actions).contains(&1), "attempt {attempt}");
+            assert!(sent_ids(&actions).contains(&1), "attempt {attempt}");
             let report = cedarwharf::report::Report::new(left, 1_000.0).unwrap();
-            sender.hear(Event::Report(EndpointId(1), report));
-            actions = sender.settle(1, attempt, AttemptOutcome::Rejected { retry_after: None });
-            while sends(&actions).is_empty() && sender.now < ms(300_000) {
-                actions.extend(sender.wait(100));
+            forwarder.handle(Event::Report(EndpointId(1), report));
+            actions = forwarder.end_attempt(1, attempt, AttemptOutcome::Rejected { retry_after: None });
+            while sent_ids(&actions).is_empty() && forwarder.now < ms(300_000) {
+                actions.extend(forwarder.advance(100));
             }
             all.extend(actions.clone());
         }
@@ -409,7 +421,7 @@
             ListScope::Cached,
             vec![endpoint_record(1, HOME, 9.0), endpoint_record(2, HOME, 9.0)],
         ));
-        let actions = sender.message(1, SAFE, None);
+        let actions = forwarder.submit(1, SAFE, None);
         first.extend(actions.iter().filter_map(|a| match a {
             Action::Send { endpoint, .. } => Some(endpoint.0),
             _ => None,
@@ -437,19 +449,22 @@
         forwarder.advance(spent);
         forwarder.end_attempt_after(id, 0, AttemptOutcome::Delivered, spent);
     }
-    sender.message(4, UNSAFE, None);
-    sender.message(5, UNSAFE, None);
-    sender.hear(handed_in(6, HOME, ms(5_000), SAFE, None));
-    sender.wait(1_200);
-    let actions = [sender.settle_after(4, 0, AttemptOutcome::Delivered, 1_200), sender.wait(50)].concat();
-    assert_eq!(sends(&actions), [6], "its worth decays fast, though it is a quarter of the others'");
-    sender.message_for(7, UNSAFE, None, slow);
-    sender.message_for(8, UNSAFE, None, quick);
-    sender.wait(2_500);
+    forwarder.submit(4, UNSAFE, None);
+    forwarder.submit(5, UNSAFE, None);
+    forwarder.handle(message_event(6, HOME, ms(5_000), SAFE, None));
+    forwarder.advance(1_200);
+    let actions =
+        [forwarder.end_attempt_after(4, 0, AttemptOutcome::Delivered, 1_200), forwarder.advance(50)].concat();
+    assert_eq!(sent_ids(&actions), [6], "its worth decays fast, though it is a quarter of the others'");
+    forwarder.submit_to(7, UNSAFE, None, slow);
+    forwarder.submit_to(8, UNSAFE, None, quick);
+    forwarder.advance(2_500);
     let mut order = Vec::new();
     for id in [6, 8, 5] {
-        let actions = [sender.settle_after(id, 0, AttemptOutcome::Delivered, 100), sender.wait(50)].concat();
-        order.extend(sends(&actions));
+        let actions =
+            [forwarder.end_attempt_after(id, 0, AttemptOutcome::Delivered, 100), forwarder.advance(50)]
+                .concat();
+        order.extend(sent_ids(&actions));
     }
     assert_eq!(order.last(), Some(&7), "the slow destination comes last: {order:?}");
 }
@@ -459,22 +474,22 @@
 /// endpoint that sends nothing but malformed answers has its circuit opened.
 #[test]
 fn malformed_answers_open_the_circuit_only_when_an_endpoint_sends_nothing_else() {
-    let mut sender = Sender::simple();
+    let mut forwarder = TestForwarder::with_one_endpoint();
     for id in 0..4 {
-        assert_eq!(sends(&sender.message(id, UNSAFE, None)), [id], "sent at once");
+        assert_eq!(sent_ids(&forwarder.submit(id, UNSAFE, None)), [id], "sent at once");
         let malformed = id % 4 != 3;
-        let actions = sender.settle(
+        let actions = forwarder.end_attempt(
             id,
             0,
             if malformed { AttemptOutcome::MalformedAnswer } else { AttemptOutcome::Delivered },
         );
-        assert_eq!(failed(&actions, id), malformed, "the message may have run: {actions:?}");
+        assert_eq!(is_failed(&actions, id), malformed, "the message may have run: {actions:?}");
     }
     let mut forwarder = TestForwarder::with_one_endpoint();
     let mut out = false;
     for id in 0..10 {
-        sender.message(id, UNSAFE, None);
-        let actions = sender.settle(id, 0, AttemptOutcome::MalformedAnswer);
+        forwarder.submit(id, UNSAFE, None);
+        let actions = forwarder.end_attempt(id, 0, AttemptOutcome::MalformedAnswer);
         out |= actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out")));
     }
     assert!(out, "the circuit did not open after ten malformed answers in a row");
@@ -494,16 +509,16 @@
         for id in 0..5 {
             forwarder.submit(id, SAFE, None);
         }
-        sender.settle(0, 0, AttemptOutcome::Delivered);
-        sender.settle(1, 0, outcome);
-        let actions = sender.settle(2, 0, outcome);
+        forwarder.end_attempt(0, 0, AttemptOutcome::Delivered);
+        forwarder.end_attempt(1, 0, outcome);
+        let actions = forwarder.end_attempt(2, 0, outcome);
         assert!(actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out"))));
-        sender.now = sender.now.plus(ms(pause));
-        sender.settle(3, 0, AttemptOutcome::Delivered);
-        sender.settle(4, 0, AttemptOutcome::Delivered);
+        forwarder.now = forwarder.now.plus(ms(pause));
+        forwarder.end_attempt(3, 0, AttemptOutcome::Delivered);
+        forwarder.end_attempt(4, 0, AttemptOutcome::Delivered);
         let mut sent_at_once = 0;
         for id in 10..15 {
-            sent_at_once += sends(&sender.message(id, SAFE, None)).len();
+            sent_at_once += sent_ids(&forwarder.submit(id, SAFE, None)).len();
         }
         assert_eq!(sent_at_once < 4, recovering, "{outcome:?} after {pause} ms: {sent_at_once} sent at once");
     }
@@ -514,21 +529,21 @@
 /// followed.
 #[test]
 fn broken_connections_between_served_calls_do_not_limit_the_destination_as_recovering() {
-    let mut sender = Sender::new(settings(), vec![member(1, HOME, 40.0)]);
+    let mut forwarder = TestForwarder::new(settings(), vec![endpoint_record(1, HOME, 40.0)]);
     for id in 0..6 {
         forwarder.submit(id, SAFE, None);
     }
-    sender.settle(0, 0, AttemptOutcome::Delivered);
-    sender.settle(1, 0, AttemptOutcome::Reset);
-    let actions = sender.settle(2, 0, AttemptOutcome::ConnectFailed);
+    forwarder.end_attempt(0, 0, AttemptOutcome::Delivered);
+    forwarder.end_attempt(1, 0, AttemptOutcome::Reset);
+    let actions = forwarder.end_attempt(2, 0, AttemptOutcome::ConnectFailed);
     assert!(
         !actions.iter().any(|a| matches!(a, Action::Log(_))),
         "two failures in a row may be chance: {actions:?}"
     );
-    let actions = sender.settle(3, 0, AttemptOutcome::Reset);
+    let actions = forwarder.end_attempt(3, 0, AttemptOutcome::Reset);
     assert!(actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out"))));
-    sender.settle(4, 0, AttemptOutcome::Delivered);
-    let sent_at_once: usize = (10..14).map(|id| sends(&sender.message(id, SAFE, None)).len()).sum();
+    forwarder.end_attempt(4, 0, AttemptOutcome::Delivered);
+    let sent_at_once: usize = (10..14).map(|id| sent_ids(&forwarder.submit(id, SAFE, None)).len()).sum();
     assert_eq!(sent_at_once, 4, "calls are served again: no slow start");
 }
 
@@ -536,12 +551,12 @@
 /// deadlines opened the circuits of endpoints.
 #[test]
 fn call_timed_out_early_by_its_messages_deadline_does_not_count_against_the_endpoint() {
-    let mut sender = Sender::simple();
-    sender.message(0, SAFE, None);
-    sender.settle_after(0, 0, AttemptOutcome::Delivered, 300);
+    let mut forwarder = TestForwarder::with_one_endpoint();
+    forwarder.submit(0, SAFE, None);
+    forwarder.end_attempt_after(0, 0, AttemptOutcome::Delivered, 300);
     for (id, spent, out) in [(1, 100, false), (2, 100, false), (3, 900, false), (4, 900, true)] {
-        sender.hear(handed_in(id, HOME, ms(spent + 50), SAFE, None));
-        let actions = sender.settle_after(id, 0, AttemptOutcome::TimedOut, spent);
+        forwarder.handle(message_event(id, HOME, ms(spent + 50), SAFE, None));
+        let actions = forwarder.end_attempt_after(id, 0, AttemptOutcome::TimedOut, spent);
         let log = actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("endpoint out")));
         assert_eq!(log, out, "call {id} after {spent} ms: {actions:?}");
     }
@@ -555,7 +570,7 @@
 fn recovering_destination_receives_most_of_its_budget_and_no_more() {
     let mut settings = settings();
     (settings.weights, settings.slots) = (Weights::Absent, 100);
-    let mut sender = Sender::new(settings, vec![member(1, HOME, 0.0)]);
+    let mut forwarder = TestForwarder::new(settings, vec![endpoint_record(1, HOME, 0.0)]);
     // Ten calls a second for ten seconds, all served; then errors until the circuit opens, and one served
     // call.
     for id in 0..100 {
@@ -568,14 +583,14 @@
     let mut recovered_at = None;
     let mut sent = 0;
     for id in 100..200 {
-        let mut actions = sender.message(id, UNSAFE, None);
-        actions.extend(sender.wait(100));
-        for id in sends(&actions) {
-            sender.settle(id, u32::from(id == 98 || id == 99), AttemptOutcome::Delivered);
+        let mut actions = forwarder.submit(id, UNSAFE, None);
+        actions.extend(forwarder.advance(100));
+        for id in sent_ids(&actions) {
+            forwarder.end_attempt(id, u32::from(id == 98 || id == 99), AttemptOutcome::Delivered);
             sent += usize::from(recovered_at.is_some());
-            recovered_at.get_or_insert(sender.now);
+            recovered_at.get_or_insert(forwarder.now);
         }
-        if recovered_at.is_some_and(|at| sender.now >= at.plus(ms(2_000))) {
+        if recovered_at.is_some_and(|at| forwarder.now >= at.plus(ms(2_000))) {
             break;
         }
     }
