--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn messages_for_an_endpoint_kind_with_batches_share_a_call() {
-    let batching = EndpointRecord { kind: 1, ..member(1, HOME, 10.0) };
+    let batching = EndpointRecord { kind: 1, ..endpoint_record(1, HOME, 10.0) };
     let mut forwarder = TestForwarder::new(settings(), vec![batching]);
     let events: Vec<Event> = (0..3).map(|id| message_event(id, HOME, ms(9_000), SAFE, None)).collect();
     let mut actions = Vec::new();
