--- a/src/net/change.rs
+++ b/src/net/change.rs
@@ -35,7 +35,9 @@
 /// A reload by SIGHUP that waits until its file no longer changes.
 pub(super) struct FileReload {
     text: Result<String, String>,
+    /// When the text was first read as it is.
     since: Micros,
+    /// When SIGHUP arrived.
     begun: Micros,
 }
 
@@ -94,6 +96,7 @@
     Sockets(Rlimit),
 }
 
+/// The node as the target of a configuration transaction.
 struct RunningNode<'a> {
     node: &'a mut Node,
     versions: &'a Versions,
@@ -144,9 +147,10 @@
             Part::Members(None) => Ok(PreparedStep::Socket(None)),
             Part::Members(Some(settings)) => {
                 // Where the address stays the same, the socket is kept: datagrams in flight are not lost.
-                let bound = |one: &&Members| one.socket().local_addr().is_ok_and(|at| at == settings.listen);
-                let socket = match self.node.members.as_ref().filter(bound) {
-                    Some(one) => one.socket().try_clone(),
+                let is_bound =
+                    |members: &&Members| members.socket().local_addr().is_ok_and(|at| at == settings.listen);
+                let socket = match self.node.members.as_ref().filter(is_bound) {
+                    Some(members) => members.socket().try_clone(),
                     None => members::bind(&mut self.node.poll, settings.listen),
                 };
                 socket.map(|socket| PreparedStep::Socket(Some(socket))).map_err(|problem| {
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -58,7 +58,7 @@
 pub struct State {
     /// The predecessor's clock.
     pub now: Micros,
-    /// The system's clock at that moment. Absent in the state of an earlier version.
+    /// The system's clock at that moment. Absent where an earlier version hands over.
     #[serde(default)]
     pub wall: Option<Micros>,
     /// The state of the core.
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -130,7 +130,8 @@
         let change = match request {
             MaintenanceRequest::Cancel(id) => Change::CancelPlan(id),
             MaintenanceRequest::Create(body) => {
-                let live = node.members().filter(|seen| seen.state == State::Alive).map(|seen| seen.id.name);
+                let live =
+                    node.members().filter(|member| member.state == State::Alive).map(|member| member.id.name);
                 let alive = live.chain([node.me().name.clone()]).collect();
                 let MemberCounts { alive: up, suspect, dead, .. } = node.counts();
                 let fleet = Fleet { alive, size: up + suspect + dead };
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -41,8 +41,8 @@
     last_whole: usize,
     /// The epoch of the held list.
     epoch: u32,
-    /// The lease under which the forwarder is out of service. Absent in the state of an
-    /// earlier version.
+    /// The lease under which the forwarder is out of service. Absent where an earlier version hands
+    /// over.
     #[serde(default)]
     lease: Option<OwnLease>,
 }
@@ -193,7 +193,9 @@
                     self.log_change(change);
                 }
                 Output::MaintenancePart(from, fragment) => {
-                    self.maintenance.iter_mut().for_each(|one| one.receive(now, &from, fragment.clone()));
+                    self.maintenance
+                        .iter_mut()
+                        .for_each(|maintenance| maintenance.receive(now, &from, fragment.clone()));
                 }
                 Output::NameConflict(other) => {
                     let (name, at) = (&other.name, other.address);
@@ -266,7 +268,7 @@
 
     /// The maintenance plans and the members out of service, where there is maintenance.
     pub fn maintenance_status(&self, now: Micros) -> Option<serde_json::Value> {
-        self.maintenance.as_ref().map(|one| one.status(now))
+        self.maintenance.as_ref().map(|maintenance| maintenance.status(now))
     }
 
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -16,9 +16,11 @@
         if !changed && members.list_generation() == Some(generation) {
             return members.from_discovery(now, generation, None);
         }
-        let is_looked_up =
-            |entry: &&Entry| self.dns_sd.iter().flat_map(DnsSd::current).any(|one| one.name == entry.name);
-        let is_configured = |entry: &&Entry| self.configured_entries.iter().any(|one| one.name == entry.name);
+        let is_looked_up = |entry: &&Entry| {
+            self.dns_sd.iter().flat_map(DnsSd::current).any(|other| other.name == entry.name)
+        };
+        let is_configured =
+            |entry: &&Entry| self.configured_entries.iter().any(|other| other.name == entry.name);
         let discovered = self.book.0.values().filter(|entry| !is_configured(entry) && !is_looked_up(entry));
         let list = list::write(generation, discovered, &self.change_service.model().names);
         members.from_discovery(now, generation, Some(&list));
@@ -49,12 +51,12 @@
     /// removed.
     pub(in crate::net) fn set_configured_entries(&mut self, entries: Vec<Entry>) {
         let before = std::mem::replace(&mut self.configured_entries, entries);
-        let is_still_listed = |one: &Entry| {
-            self.configured_entries.iter().any(|other| other.member.endpoint == one.member.endpoint)
+        let is_still_listed = |entry: &Entry| {
+            self.configured_entries.iter().any(|other| other.member.endpoint == entry.member.endpoint)
         };
-        let mut news: Vec<Entry> = before.iter().filter(|one| !is_still_listed(one)).cloned().collect();
+        let mut news: Vec<Entry> = before.iter().filter(|entry| !is_still_listed(entry)).cloned().collect();
         news.iter_mut().for_each(|entry| entry.member.lifecycle = Lifecycle::Gone);
-        news.extend(self.configured_entries.iter().filter(|one| !before.contains(one)).cloned());
+        news.extend(self.configured_entries.iter().filter(|entry| !before.contains(entry)).cloned());
         self.apply_list(News { generation: 0, whole: false, entries: news });
     }
 
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -130,13 +130,13 @@
         let admin = self.admin.as_ref().and_then(Admin::due);
         let ops = self.ops.as_ref().and_then(Ops::due);
         let life = self.life.due(now);
-        let own =
+        let timers =
             [self.engine.due(), self.watch.due(), self.reports.due(), publishers, dns_sd, admin, ops, life];
         let members = self.members.as_ref().map(|members| members.due(now));
         let change = [members, self.change_service.due(), self.reload.as_ref().map(FileReload::due)];
         let peers = [self.servers.due(), self.brokers.due(), self.platform.due()];
-        let dues = own.into_iter().chain(change).chain(peers);
-        let due = dues.flatten().min().unwrap_or(Micros(u64::MAX));
+        let deadlines = timers.into_iter().chain(change).chain(peers);
+        let due = deadlines.flatten().min().unwrap_or(Micros(u64::MAX));
         let busy = !self.inputs.is_empty() || !self.queued_changes.is_empty();
         let due =
             if self.successor_waits() { due.min(now.plus(upgrade::HANDOVER_POLL_INTERVAL)) } else { due };
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -172,7 +172,7 @@
     /// The complete list, with the records of every source.
     whole: News,
     /// The cached list of the state folder, where it is used.
-    kept: Option<CachedList>,
+    cached: Option<CachedList>,
 }
 
 impl InitialList {
@@ -186,11 +186,11 @@
         configured_entries: &[Entry],
     ) -> InitialList {
         // The list is cached only where there is a membership.
-        let is_kept = model.members.is_some() && handed.is_none();
+        let uses_cache = model.members.is_some() && handed.is_none();
         let known_generation = known.as_ref().map(|known| known.generation);
-        let kept = is_kept.then(|| cached_list(folder, model, known_generation)).flatten();
+        let cached = uses_cache.then(|| cached_list(folder, model, known_generation)).flatten();
         let handed_list = handed.filter(|state| state.listed);
-        let (generation, news) = match (handed_list, &kept) {
+        let (generation, news) = match (handed_list, &cached) {
             (Some(state), _) => (state.generation, Some(upgrade::handed_over_list(state, &model.names))),
             (None, Some((news, _))) => (Some(news.generation), Some(news.clone())),
             (None, None) => (known_generation, known),
@@ -201,14 +201,21 @@
         let looked_up = handed.map(|state| upgrade::handed_over_lookups(state, &model.names));
         whole.entries.extend(configured_entries.iter().cloned());
         whole.entries.extend(looked_up.iter().flatten().cloned());
-        InitialList { generation, is_ready, discovered, looked_up, whole, kept: kept.map(|(_, kept)| kept) }
+        InitialList {
+            generation,
+            is_ready,
+            discovered,
+            looked_up,
+            whole,
+            cached: cached.map(|(_, cached)| cached),
+        }
     }
 
     /// Restores the list that is distributed among members.
     fn restore_to(&self, members: &mut Members, handed: Option<&State>, model: &Model, now: Micros) {
-        if let Some(kept) = &self.kept {
-            let confirmed = Some(kept.confirmed).filter(|at| *at <= now);
-            members.restore_list(kept.edition, &kept.bytes, confirmed);
+        if let Some(cached) = &self.cached {
+            let confirmed = Some(cached.confirmed).filter(|at| *at <= now);
+            members.restore_list(cached.edition, &cached.bytes, confirmed);
         } else if let Some(generation) = self.generation {
             let previous = handed.and_then(|state| state.members.as_ref());
             let epoch = previous.map_or(0, members::MembershipHandover::epoch);
@@ -220,11 +227,11 @@
 
 /// The cached list of the state folder, unless the platform's file has a newer one.
 fn cached_list(folder: &Path, model: &Model, known_generation: Option<u64>) -> Option<(News, CachedList)> {
-    let kept = members::load_cached_list(folder)?;
-    let news = listing::parse_whole_list(&kept.bytes, &model.names)?;
+    let cached = members::load_cached_list(folder)?;
+    let news = listing::parse_whole_list(&cached.bytes, &model.names)?;
     let is_current =
-        known_generation.is_none_or(|known| kept.edition.epoch > 0 || kept.edition.generation >= known);
-    is_current.then_some((news, kept))
+        known_generation.is_none_or(|known| cached.edition.epoch > 0 || cached.edition.generation >= known);
+    is_current.then_some((news, cached))
 }
 
 /// The ramp of first calls, with the destinations of the messages that were recovered from the journal.
@@ -256,7 +263,7 @@
         }
         let listening = ListeningSockets::open(&mut poll, &model, handed.as_ref(), &mut sockets)?;
         let configured_entries: Vec<Entry> = model.brokers.iter().map(listing::broker_entry).collect();
-        let mut first = InitialList::choose(known, &folder, &model, handed.as_ref(), &configured_entries);
+        let mut initial = InitialList::choose(known, &folder, &model, handed.as_ref(), &configured_entries);
         let slots = model.core.settings.slots;
         let mut servers = Servers::new(
             model.dial_timeout,
@@ -264,19 +271,19 @@
             model::endpoint_connection_limit(slots),
         );
         let mut book = Book::default();
-        book.learn(&first.whole);
-        let cached = listing::store_addresses(&mut servers, &first.whole);
+        book.learn(&initial.whole);
+        let records = listing::store_addresses(&mut servers, &initial.whole);
         let journal = (folder.as_path(), model.disk);
         let now = clock.now();
         let engine = match &handed {
             Some(state) => {
                 let mapping = model.names.places(&state.names);
                 let core = (state.core.clone(), &mapping);
-                Engine::follow(&model.core, seed, journal, now, cached, core)
+                Engine::follow(&model.core, seed, journal, now, records, core)
             }
             None => {
                 let resume = if model.members.is_some() { Resume::Paced } else { Resume::AtOnce };
-                Engine::start(&model.core, seed, journal, now, cached, resume)
+                Engine::start(&model.core, seed, journal, now, records, resume)
             }
         };
         let directory = engine.directory().clone();
@@ -287,28 +294,28 @@
             .map(|listener| Front::new(listener, model.publishers.clone(), directory.clone(), clock.now()));
         let names = model.names.clone();
         let mut dns_sd = model.dns_sd.as_ref().map(|(at, service)| DnsSd::new(*at, service, names.clone()));
-        if let (Some(lookups), Some(found)) = (&mut dns_sd, first.looked_up.take()) {
+        if let (Some(lookups), Some(found)) = (&mut dns_sd, initial.looked_up.take()) {
             lookups.follow_up(found);
         }
         let spread = Spread::new(model.core.settings.forwarders, seed);
-        let mut watch = Watch::new(model.discovery, names, first.generation, now, spread);
+        let mut watch = Watch::new(model.discovery, names, initial.generation, now, spread);
         let forwarders = model.core.settings.forwarders;
         let previous = handed.as_ref().and_then(|state| state.members.clone());
         let members = model.members.as_ref().zip(listening.members).map(|(settings, socket)| {
             let start =
                 members::MembersOptions { settings, forwarders, seed, folder: &folder, handed: previous };
             let mut members = Members::new(socket, start, now);
-            first.restore_to(&mut members, handed.as_ref(), &model, now);
+            initial.restore_to(&mut members, handed.as_ref(), &model, now);
             members
         });
         // A list that was not confirmed lately waits a limited time for a confirmation by a member or by
         // discovery.
-        let fresh = first.kept.as_ref().is_some_and(|kept| kept.is_fresh(now));
+        let fresh = initial.cached.as_ref().is_some_and(|cached| cached.is_fresh(now));
         let confirmation_timeout = (members.is_some() && !fresh).then_some(CONFIRMATION_TIMEOUT);
-        let is_first_start = members.is_some() && handed.is_none();
-        let ramp = is_first_start.then(|| start_ramp(&engine, &model, seed, now));
-        let begin = || Lifecycle::begin(now, first.is_ready, confirmation_timeout);
-        let life = handed.as_ref().map_or_else(begin, |state| state.life.for_successor(first.is_ready));
+        let needs_ramp = members.is_some() && handed.is_none();
+        let ramp = needs_ramp.then(|| start_ramp(&engine, &model, seed, now));
+        let begin = || Lifecycle::begin(now, initial.is_ready, confirmation_timeout);
+        let life = handed.as_ref().map_or_else(begin, |state| state.life.for_successor(initial.is_ready));
         if handed.is_some() {
             watch.follow(now);
         }
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -62,19 +62,19 @@
             let left = until.saturating_duration_since(Instant::now());
             let ready = self.poll.wait(left);
             let now = self.clock.now();
-            for one in &ready {
+            for event in &ready {
                 let Some(ops) = &mut self.ops else { break };
-                match one.peer {
+                match event.peer {
                     Peer::OpsListener => ops.accept(&mut self.poll, now),
                     Peer::Ops => {
-                        if let Some(call) = ops.ready(&self.poll, one.token, now) {
-                            ops.answer(&self.poll, one.token, now, &answer(call));
+                        if let Some(call) = ops.ready(&self.poll, event.token, now) {
+                            ops.answer(&self.poll, event.token, now, &answer(call));
                         }
                     }
                     _ => {}
                 }
             }
-            if ready.iter().any(|one| one.peer == Peer::Stop) {
+            if ready.iter().any(|event| event.peer == Peer::Stop) {
                 return false;
             }
             if let Some(ops) = &mut self.ops {
@@ -197,7 +197,7 @@
         .servers
         .into_iter()
         .zip(sockets)
-        .filter_map(|(one, socket)| servers.follow(poll, one, socket))
+        .filter_map(|(connection, socket)| servers.follow(poll, connection, socket))
         .collect();
     state.core.out().filter(|call| !adopted.contains(call)).for_each(&mut broken);
 }
@@ -317,7 +317,7 @@
         let core = self.engine.hand_over()?;
         let others = |entry: &&Entry| {
             let looked_up = self.dns_sd.iter().flat_map(|dns_sd| dns_sd.current());
-            !self.configured_entries.iter().chain(looked_up).any(|one| one.name == entry.name)
+            !self.configured_entries.iter().chain(looked_up).any(|other| other.name == entry.name)
         };
         Ok(State {
             now: self.clock.now(),
