--- a/src/net/node/listing.rs
+++ b/src/net/node/listing.rs
@@ -31,13 +31,13 @@
         let Some(members) = &mut self.members else { return };
         if let Some((edition, bytes)) = members.take_received_list() {
             match parse_whole_list(&bytes, &self.change_service.model().names) {
-                Some(mut news) => {
+                Some(mut update) => {
                     members.finish_received_list(edition, Some(bytes));
                     self.watch.goes_on_from(edition.generation);
-                    news.entries.extend(self.configured_entries.iter().cloned());
-                    news.entries.extend(self.dns_sd.iter().flat_map(DnsSd::current).cloned());
+                    update.entries.extend(self.configured_entries.iter().cloned());
+                    update.entries.extend(self.dns_sd.iter().flat_map(DnsSd::current).cloned());
                     log!("list generation {} was accepted from a member", edition.generation);
-                    self.apply_list(news);
+                    self.apply_list(update);
                 }
                 None => {
                     log!("a list that a member sent cannot be read: not taken, another member is asked");
@@ -54,27 +54,27 @@
         let is_still_listed = |entry: &Entry| {
             self.configured_entries.iter().any(|other| other.member.endpoint == entry.member.endpoint)
         };
-        let mut news: Vec<Entry> = before.iter().filter(|entry| !is_still_listed(entry)).cloned().collect();
-        news.iter_mut().for_each(|entry| entry.member.lifecycle = Lifecycle::Gone);
-        news.extend(self.configured_entries.iter().filter(|entry| !before.contains(entry)).cloned());
-        self.apply_list(News { generation: 0, whole: false, entries: news });
+        let mut update: Vec<Entry> = before.iter().filter(|entry| !is_still_listed(entry)).cloned().collect();
+        update.iter_mut().for_each(|entry| entry.member.lifecycle = Lifecycle::Gone);
+        update.extend(self.configured_entries.iter().filter(|entry| !before.contains(entry)).cloned());
+        self.apply_list(News { generation: 0, whole: false, entries: update });
     }
 
     /// Applies a list update of any source.
-    pub(in crate::net) fn apply_list(&mut self, news: News) {
+    pub(in crate::net) fn apply_list(&mut self, update: News) {
         self.life.list_received();
         self.platform.is_ready = self.life.accepts_clients();
-        self.book.learn(&news);
-        let members = store_addresses(&mut self.servers, &news);
-        if news.whole {
+        self.book.learn(&update);
+        let members = store_addresses(&mut self.servers, &update);
+        if update.whole {
             let book = &self.book;
             self.servers.retain(|endpoint| book.0.contains_key(&endpoint));
         }
-        for entry in news.entries.iter().filter(|entry| entry.member.lifecycle == Lifecycle::Gone) {
+        for entry in update.entries.iter().filter(|entry| entry.member.lifecycle == Lifecycle::Gone) {
             self.servers.forget(entry.member.endpoint);
         }
-        let scope = if news.whole { ListScope::Whole } else { ListScope::Changes };
-        if news.whole || !members.is_empty() {
+        let scope = if update.whole { ListScope::Whole } else { ListScope::Changes };
+        if update.whole || !members.is_empty() {
             self.inputs.push(Input::Entries(scope, members));
         }
     }
@@ -84,17 +84,17 @@
 pub(super) fn parse_whole_list(bytes: &[u8], names: &Names) -> Option<News> {
     let mut bytes = bytes.to_vec();
     let value = simd_json::to_borrowed_value(&mut bytes).ok()?;
-    list::read(&value, names).filter(|news| news.whole)
+    list::read(&value, names).filter(|update| update.whole)
 }
 
 /// Stores the addresses for the endpoint connections, and returns the records for the core.
-pub(super) fn store_addresses(servers: &mut Servers, news: &News) -> Vec<EndpointRecord> {
-    for entry in &news.entries {
+pub(super) fn store_addresses(servers: &mut Servers, update: &News) -> Vec<EndpointRecord> {
+    for entry in &update.entries {
         if let Some(address) = entry.address {
             servers.learn(entry.member.endpoint, address);
         }
     }
-    news.entries.iter().map(|entry| entry.member.clone()).collect()
+    update.entries.iter().map(|entry| entry.member.clone()).collect()
 }
 
 /// The endpoint record of a destination's broker.
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -222,14 +222,15 @@
             Peer::Edge => self.platform.ready(&self.poll, token, now, &mut self.inputs),
             Peer::Server => self.servers.ready(&self.poll, token, now, &mut self.inputs),
             Peer::Watch => {
-                if let Some(mut news) = self.watch.ready(&mut self.poll, token, now) {
-                    let (generation, whole, none) = (news.generation, news.whole, news.entries.is_empty());
-                    if news.whole {
+                if let Some(mut update) = self.watch.ready(&mut self.poll, token, now) {
+                    let (generation, whole, none) =
+                        (update.generation, update.whole, update.entries.is_empty());
+                    if update.whole {
                         // A complete list of discovery does not contain the records of the other sources.
-                        news.entries.extend(self.configured_entries.iter().cloned());
-                        news.entries.extend(self.dns_sd.iter().flat_map(DnsSd::current).cloned());
+                        update.entries.extend(self.configured_entries.iter().cloned());
+                        update.entries.extend(self.dns_sd.iter().flat_map(DnsSd::current).cloned());
                     }
-                    self.apply_list(news);
+                    self.apply_list(update);
                     self.publish_list(now, generation, whole || !none);
                 }
             }
@@ -268,9 +269,9 @@
             Peer::Door => self.accept_successor(now),
             Peer::Follower => self.read_successor(now),
             Peer::Resolver => {
-                let news = self.dns_sd.as_mut().and_then(|dns| dns.ready(&self.poll, token, now));
-                if let Some(news) = news {
-                    self.apply_list(news);
+                let update = self.dns_sd.as_mut().and_then(|dns| dns.ready(&self.poll, token, now));
+                if let Some(update) = update {
+                    self.apply_list(update);
                 }
             }
         }
--- a/src/net/node/start.rs
+++ b/src/net/node/start.rs
@@ -190,13 +190,13 @@
         let known_generation = known.as_ref().map(|known| known.generation);
         let cached = uses_cache.then(|| cached_list(folder, model, known_generation)).flatten();
         let handed_list = handed.filter(|state| state.listed);
-        let (generation, news) = match (handed_list, &cached) {
+        let (generation, update) = match (handed_list, &cached) {
             (Some(state), _) => (state.generation, Some(upgrade::handed_over_list(state, &model.names))),
-            (None, Some((news, _))) => (Some(news.generation), Some(news.clone())),
+            (None, Some((update, _))) => (Some(update.generation), Some(update.clone())),
             (None, None) => (known_generation, known),
         };
-        let is_ready = news.is_some();
-        let mut whole = News { whole: true, ..news.unwrap_or_default() };
+        let is_ready = update.is_some();
+        let mut whole = News { whole: true, ..update.unwrap_or_default() };
         let discovered = whole.entries.clone();
         let looked_up = handed.map(|state| upgrade::handed_over_lookups(state, &model.names));
         whole.entries.extend(configured_entries.iter().cloned());
@@ -228,10 +228,10 @@
 /// The cached list of the state folder, unless the platform's file has a newer one.
 fn cached_list(folder: &Path, model: &Model, known_generation: Option<u64>) -> Option<(News, CachedList)> {
     let cached = members::load_cached_list(folder)?;
-    let news = listing::parse_whole_list(&cached.bytes, &model.names)?;
+    let update = listing::parse_whole_list(&cached.bytes, &model.names)?;
     let is_current =
         known_generation.is_none_or(|known| cached.edition.epoch > 0 || cached.edition.generation >= known);
-    is_current.then_some((news, cached))
+    is_current.then_some((update, cached))
 }
 
 /// The ramp of first calls, with the destinations of the messages that were recovered from the journal.
