--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -1,7 +1,8 @@
-//! The other forwarders of the fleet: one UDP socket in the loop, the membership's core behind it, and this forwarder's
-//! part of what all share. Where the operators' file has no section `membership`, there is none of it.
+//! The other forwarders of the fleet: the membership protocol behind one UDP socket in the event loop, the
+//! distribution of the endpoint list, and this forwarder's share of common limits. Inactive where the
+//! operators' file has no section `membership`.
 
-use super::maintenance::{Asked, Maintenance, Order};
+use super::maintenance::{Maintenance, MaintenanceAction, MaintenanceRequest};
 use super::ops::Answer;
 use super::poll::{Peer, Poll};
 use crate::config::members::Membership;
@@ -21,133 +22,137 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The list is kept in the folder so often at the most...
-const KEEP: Micros = Micros(1_000_000);
-/// ...and so often where only its confirmation is newer: a start within the time that it counts as fresh.
-const KEEP_AGAIN: Micros = Micros(3_000_000);
-/// Datagrams read in a turn; the rest waits for the next.
-const MOST_READ: usize = 256;
-/// Addresses of members that the process that follows is told.
-const MOST_HANDED: usize = 64;
-
-/// What the process that follows is told, beside the socket.
+/// Shortest interval at which the list is saved in the state folder.
+const MIN_SAVE_INTERVAL: Micros = Micros(1_000_000);
+/// Interval at which the list is saved where only its confirmation is newer: shorter than the time for which
+/// a confirmation counts as fresh at a start.
+const CONFIRMATION_SAVE_INTERVAL: Micros = Micros(3_000_000);
+/// Datagrams read in one iteration; the others wait for the next.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 256;
+/// Addresses of members that are handed over to a successor.
+const MAX_PEERS_HANDED_OVER: usize = 64;
+
+/// The membership's state for a successor, beside the socket.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Handed {
-    /// Where live members are.
+pub struct MembershipHandover {
+    /// Addresses of live members.
     peers: Vec<SocketAddr>,
-    /// The live count when the view was last whole.
+    /// The number of live members when the view was last whole.
     last_whole: usize,
-    /// The epoch of the list that is held.
+    /// The epoch of the held list.
     epoch: u32,
-    /// The lease by which it is out; told by none of a version before this.
+    /// The lease under which the forwarder is out of service. Absent where an earlier version hands
+    /// over.
     #[serde(default)]
     lease: Option<OwnLease>,
 }
 
-impl Handed {
-    /// The epoch of the list that was held.
+impl MembershipHandover {
+    /// The epoch of the list that the predecessor held.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 }
 
-/// See the module's text.
+/// The membership in the event loop: see the module's documentation.
 pub struct Members {
     socket: UdpSocket,
     node: Node,
     shares: Shares,
-    /// Datagrams that the system did not take.
+    /// Datagrams that the system did not accept.
     unsent: u64,
     outputs: Vec<Output>,
-    view: MemberCounts,
-    /// This one among the members that started lately.
-    among: StartPosition,
+    counts: MemberCounts,
+    /// The rank of this forwarder among the members that started lately.
+    start_position: StartPosition,
     lists: Lists,
-    /// A whole list that a member gave, to be read.
-    came: Option<(Edition, Vec<u8>)>,
-    /// Where the list is kept, and what was kept last, when.
+    /// A complete list that a member sent, still to be parsed.
+    received_list: Option<(Edition, Vec<u8>)>,
+    /// The state folder, in which the list is saved.
     folder: PathBuf,
-    kept: (Option<Edition>, Micros),
-    /// None where no voters are named.
+    /// The edition that was saved last, and when the list may be saved again.
+    last_saved: (Option<Edition>, Micros),
+    /// `None` where the settings name no voters.
     maintenance: Option<Maintenance>,
 }
 
-/// What a member begins with.
-pub struct Start<'a> {
-    /// The operators' section.
-    pub told: &'a Membership,
-    /// The settings' number of forwarders, the least while the view is young.
-    pub siblings: u32,
-    /// For random numbers.
+/// The parameters of a new [`Members`].
+pub struct MembersOptions<'a> {
+    /// The section `membership` of the operators' file.
+    pub settings: &'a Membership,
+    /// The settings' number of forwarders: the minimum while the view is young.
+    pub forwarders: u32,
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Where the list is kept.
+    /// The state folder.
     pub folder: &'a Path,
-    /// What a process before hands over.
-    pub handed: Option<Handed>,
+    /// The state that a predecessor hands over.
+    pub handed: Option<MembershipHandover>,
 }
 
-/// Binds the socket, and has the loop wait for it.
+/// Binds the socket and registers it with the event loop.
 pub fn bind(poll: &mut Poll, at: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = UdpSocket::bind(at)?;
-    watch(poll, &socket)?;
+    register(poll, &socket)?;
     Ok(socket)
 }
 
-fn watch(poll: &mut Poll, socket: &UdpSocket) -> std::io::Result<()> {
+fn register(poll: &mut Poll, socket: &UdpSocket) -> std::io::Result<()> {
     socket.set_nonblocking(true)?;
     let token = poll.token(Peer::Members);
     poll.add(socket, token, false)
 }
 
-/// Has the loop wait for a socket that was handed over.
-pub fn follow(poll: &mut Poll, socket: UdpSocket, at: SocketAddr) -> std::io::Result<UdpSocket> {
+/// Registers a socket that was handed over, or binds a new one where the address differs.
+pub fn reuse_socket(poll: &mut Poll, socket: UdpSocket, at: SocketAddr) -> std::io::Result<UdpSocket> {
     match socket.local_addr() {
-        Ok(bound) if bound == at => watch(poll, &socket).map(|()| socket),
+        Ok(bound) if bound == at => register(poll, &socket).map(|()| socket),
         _ => bind(poll, at),
     }
 }
 
 impl Members {
-    /// A member that begins now.
-    pub fn new(socket: UdpSocket, start: Start, now: Micros) -> Members {
-        let Start { told, siblings, seed, folder, handed } = start;
-        // The clock is the generation: above that of any start before, unless the clock went back (see the core).
-        let me = Identity { name: told.name.clone(), address: told.advertise, generation: now.0 };
-        let key = told.key.as_ref().map(|key| Key::new(key.reveal().as_bytes().to_vec()));
+    /// Starts the membership.
+    pub fn new(socket: UdpSocket, start: MembersOptions, now: Micros) -> Members {
+        let MembersOptions { settings, forwarders, seed, folder, handed } = start;
+        // The clock is the generation: higher than that of any earlier start, unless the clock was set back
+        // (see the core).
+        let me = Identity { name: settings.name.clone(), address: settings.advertise, generation: now.0 };
+        let key = settings.key.as_ref().map(|key| Key::new(key.reveal().as_bytes().to_vec()));
         let lease = handed.as_ref().and_then(|handed| handed.lease);
-        let (peers, before) = handed.map_or((Vec::new(), 1), |handed| (handed.peers, handed.last_whole));
-        let maintenance = (!told.voters.is_empty())
-            .then(|| Maintenance::new(&me, &told.voters, folder, lease, seed ^ now.0, now));
-        let seeded = told.seeds.iter().chain(&peers).any(|seed| *seed != told.advertise);
-        let lists = Lists::new(&told.cluster, &told.name, seeded, seed ^ now.0, now);
-        let seeds = told.seeds.iter().copied().chain(peers).collect();
-        let floor = siblings.max(u32::try_from(before).unwrap_or(u32::MAX));
-        log!("membership: {} of cluster {} at {}", me.name, told.cluster, me.address);
-        let node = Node::new(me, &told.cluster, key, told.settings(), seeds, seed ^ now.0, now);
-        let shares = Shares::new(ShareSettings { min_divisor: floor, ..ShareSettings::default() }, now);
-        let view = node.counts();
-        let (folder, kept) = (folder.to_owned(), (None, now));
+        let (peers, last_whole) = handed.map_or((Vec::new(), 1), |handed| (handed.peers, handed.last_whole));
+        let maintenance = (!settings.voters.is_empty())
+            .then(|| Maintenance::new(&me, &settings.voters, folder, lease, seed ^ now.0, now));
+        let has_seeds = settings.seeds.iter().chain(&peers).any(|seed| *seed != settings.advertise);
+        let lists = Lists::new(&settings.cluster, &settings.name, has_seeds, seed ^ now.0, now);
+        let seeds = settings.seeds.iter().copied().chain(peers).collect();
+        let min_divisor = forwarders.max(u32::try_from(last_whole).unwrap_or(u32::MAX));
+        log!("membership: {} of cluster {} at {}", me.name, settings.cluster, me.address);
+        let node = Node::new(me, &settings.cluster, key, settings.settings(), seeds, seed ^ now.0, now);
+        let shares = Shares::new(ShareSettings { min_divisor, ..ShareSettings::default() }, now);
+        let counts = node.counts();
+        let (folder, last_saved) = (folder.to_owned(), (None, now));
         Members {
             socket,
             node,
             shares,
             unsent: 0,
             outputs: Vec::new(),
-            view,
-            among: StartPosition::default(),
+            counts,
+            start_position: StartPosition::default(),
             lists,
-            came: None,
+            received_list: None,
             folder,
-            kept,
+            last_saved,
             maintenance,
         }
     }
 
-    /// Datagrams are there.
+    /// Receives the datagrams that have arrived.
     pub fn ready(&mut self, now: Micros) {
-        // One byte more than the longest, to tell what is too long.
+        // One byte more than the longest datagram, to detect one that is too long.
         let mut buffer = [0; MAX_DATAGRAM + 1];
-        for _ in 0..MOST_READ {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => self.node.receive(now, from, &buffer[..length], &mut self.outputs),
                 Err(problem) if problem.kind() == ErrorKind::Interrupted => {}
@@ -156,7 +161,8 @@
         }
     }
 
-    /// Once a turn: what is due, and what came of it. Tells by how many shared limits are divided from now on.
+    /// Runs what is due, once an iteration. Returns the number by which shared limits are divided from now
+    /// on.
     pub fn tick(&mut self, now: Micros) -> f64 {
         if now >= self.node.next_wake() {
             self.node.tick(now, &mut self.outputs);
@@ -165,7 +171,7 @@
         let outputs = std::mem::take(&mut self.outputs);
         for output in outputs.into_iter() {
             match output {
-                Output::ListAnnounced(from, holding) => self.lists.announced(now, from, holding),
+                Output::ListAnnounced(from, held) => self.lists.announced(now, from, held),
                 Output::ListRequested(to, wanted) => {
                     for (index, count, bytes) in self.lists.send_pieces(now, wanted) {
                         let which = (wanted.edition, index, count);
@@ -177,44 +183,46 @@
                     match self.lists.piece(now, from, which, &bytes) {
                         PieceResult::Nothing => {}
                         PieceResult::Request(to, wanted) => self.node.request_list_pieces(now, to, wanted, &mut self.outputs),
-                        PieceResult::Complete(edition, bytes) => self.came = Some((edition, bytes)),
-                        PieceResult::Mismatch(from) => log!("membership: the list that {from} gave is not what it announced: not taken, another member is asked"),
+                        PieceResult::Complete(edition, bytes) => self.received_list = Some((edition, bytes)),
+                        PieceResult::Mismatch(from) => log!("membership: the list that {from} sent is not what it announced: not taken, another member is asked"),
                     }
                 }
                 Output::Send { to, bytes } => self.send(to, &bytes),
                 Output::Changed(change) => {
                     changed = true;
-                    self.tell(change);
+                    self.log_change(change);
                 }
-                Output::MaintenancePart(from, part) => {
-                    self.maintenance.iter_mut().for_each(|one| one.hear(now, &from, part.clone()));
+                Output::MaintenancePart(from, fragment) => {
+                    self.maintenance
+                        .iter_mut()
+                        .for_each(|maintenance| maintenance.receive(now, &from, fragment.clone()));
                 }
                 Output::NameConflict(other) => {
                     let (name, at) = (&other.name, other.address);
                     log!("membership: another forwarder at {at} goes by the name {name}: give each its own");
                 }
                 Output::GenerationRaised(generation) => {
-                    log!("membership: the others know a later start of this one: going on as generation {generation}")
+                    log!("membership: other members know a later start of this forwarder: continuing as generation {generation}")
                 }
             }
         }
-        self.view = self.node.counts();
+        self.counts = self.node.counts();
         if changed {
             self.lists.members_changed(now, self.node.live_names());
-            self.among = self.node.rank_among_started(now.minus(STARTING_FOR).0);
+            self.start_position = self.node.rank_among_started(now.minus(STARTING_FOR).0);
         }
         if let Some((to, wanted)) = self.lists.tick(now) {
             self.node.request_list_pieces(now, to, wanted, &mut self.outputs);
         }
-        // Requests and pieces leave in this turn.
+        // Requests and pieces are sent in this iteration.
         self.flush();
         self.node.set_list(self.lists.holding());
-        self.keep(now);
-        if let Some(standing) = self.shares.observe(now, self.view) {
-            let MemberCounts { alive, suspect, dead, left } = self.view;
+        self.save_list(now);
+        if let Some(status) = self.shares.observe(now, self.counts) {
+            let MemberCounts { alive, suspect, dead, left } = self.counts;
             let divisor = self.shares.target_divisor();
-            let why = match standing {
-                ViewStatus::Young => "young: the settings' number is the least",
+            let why = match status {
+                ViewStatus::Young => "young: the settings' number of forwarders is the minimum",
                 ViewStatus::Whole => "whole",
                 ViewStatus::Doubtful => "doubtful, likely a cut: no share rises",
             };
@@ -234,79 +242,91 @@
         }
     }
 
-    /// Maintenance, once a turn; `facts` are asked for where there is any.
-    pub fn maintain(&mut self, now: Micros, facts: impl FnOnce() -> ProcessState) -> Vec<Order> {
+    /// Runs maintenance, once an iteration; `process_state` is called only where there is maintenance.
+    pub fn maintain(
+        &mut self,
+        now: Micros,
+        process_state: impl FnOnce() -> ProcessState,
+    ) -> Vec<MaintenanceAction> {
         let Some(maintenance) = &mut self.maintenance else { return Vec::new() };
-        let orders = maintenance.tick(now, facts(), &mut self.node, &mut self.outputs);
+        let actions = maintenance.tick(now, process_state(), &mut self.node, &mut self.outputs);
         self.flush();
-        orders
+        actions
     }
 
-    /// Staff ask for a round, or the end of one; answered at once or with the orders of a later turn.
-    pub fn ask_maintenance(&mut self, now: Micros, token: u64, asked: Asked) -> Option<Answer> {
+    /// Submits an operator's maintenance request. The answer is returned here, or with the actions of a later
+    /// iteration.
+    pub fn submit_maintenance(
+        &mut self,
+        now: Micros,
+        token: u64,
+        request: MaintenanceRequest,
+    ) -> Option<Answer> {
         let Some(maintenance) = &mut self.maintenance else { return Some(Answer::not_found()) };
-        maintenance.ask(now, token, asked, &self.node)
+        maintenance.submit(now, token, request, &self.node)
     }
 
-    /// Rounds and who is out, where there is maintenance.
-    pub fn rounds(&self, now: Micros) -> Option<serde_json::Value> {
-        self.maintenance.as_ref().map(|one| one.status(now))
+    /// The maintenance plans and the members out of service, where there is maintenance.
+    pub fn maintenance_status(&self, now: Micros) -> Option<serde_json::Value> {
+        self.maintenance.as_ref().map(|maintenance| maintenance.status(now))
     }
 
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        // What is lost here is as good as lost on the way.
+        // The protocol treats this as a lost datagram.
         self.unsent += u64::from(self.socket.send_to(bytes, to).is_err());
     }
 
-    /// This one among the members that started lately, as of the last change of the view.
-    pub fn among(&self) -> StartPosition {
-        self.among
+    /// The rank of this forwarder among the members that started lately, as of the last change of the view.
+    pub fn start_position(&self) -> StartPosition {
+        self.start_position
     }
 
-    /// Whether discovery may be asked here, now.
-    pub fn may_ask(&self, now: Micros) -> bool {
+    /// Whether this forwarder may call discovery now.
+    pub fn may_call_discovery(&self, now: Micros) -> bool {
         self.lists.may_call_discovery(now)
     }
 
-    /// A call to discovery has begun here.
-    pub fn asks(&mut self, now: Micros) {
+    /// Records that this forwarder has started a call to discovery.
+    pub fn discovery_called(&mut self, now: Micros) {
         self.lists.discovery_called(now);
     }
 
-    /// Discovery, or a member for it, has confirmed the list that is held lately.
-    pub fn confirmed(&self, now: Micros) -> bool {
+    /// Whether discovery, or a member on its behalf, has lately confirmed the held list.
+    pub fn list_is_confirmed(&self, now: Micros) -> bool {
         self.lists.confirmed().is_some_and(|at| now.minus(at) < kept::FRESH_FOR)
     }
 
-    /// A whole list from a member, to be read; [`Members::taken`] is to follow at once.
-    pub fn came(&mut self) -> Option<(Edition, Vec<u8>)> {
-        self.came.take()
+    /// A complete list from a member. The caller parses it and calls [`Members::finish_received_list`] at
+    /// once.
+    pub fn take_received_list(&mut self) -> Option<(Edition, Vec<u8>)> {
+        self.received_list.take()
     }
 
-    /// It could be read, and is in force; or not.
-    pub fn taken(&mut self, edition: Edition, bytes: Option<Vec<u8>>) {
+    /// Reports whether the received list could be parsed: its bytes where it is in force now, or `None`.
+    pub fn finish_received_list(&mut self, edition: Edition, bytes: Option<Vec<u8>>) {
         match bytes {
             Some(bytes) => self.lists.accepted(edition, bytes),
             None => self.lists.rejected(),
         }
     }
 
-    /// The list that is held.
-    pub fn held(&self) -> Option<(Edition, Rc<[u8]>)> {
+    /// The held list.
+    pub fn list(&self) -> Option<(Edition, Rc<[u8]>)> {
         self.lists.held()
     }
 
-    /// The generation of the list that is held.
-    pub fn generation(&self) -> Option<u64> {
+    /// The generation of the held list.
+    pub fn list_generation(&self) -> Option<u64> {
         self.lists.holding().map(|(edition, ..)| edition.generation)
     }
 
-    /// The list that is known at a start.
-    pub fn from_before(&mut self, edition: Edition, bytes: &[u8], confirmed: Option<Micros>) {
+    /// Restores the list that is known at a start.
+    pub fn restore_list(&mut self, edition: Edition, bytes: &[u8], confirmed: Option<Micros>) {
         self.lists.restore(edition, bytes, confirmed);
     }
 
-    /// Discovery has answered here: the whole list as it is now, or none where nothing has changed.
+    /// Discovery has answered this forwarder: with the complete list, or with `None` where nothing has
+    /// changed.
     pub fn from_discovery(&mut self, now: Micros, generation: u64, bytes: Option<&[u8]>) {
         match bytes {
             Some(bytes) => self.lists.from_discovery(now, generation, bytes),
@@ -314,24 +334,24 @@
         }
     }
 
-    /// Keeps the list where it has changed, and its confirmation now and then: each second at the most.
-    fn keep(&mut self, now: Micros) {
-        let (kept, at) = self.kept;
-        let Some((edition, bytes)) = self.lists.held().filter(|_| now >= at) else { return };
+    /// Saves the list where it has changed, and its confirmation from time to time; at most once a second.
+    fn save_list(&mut self, now: Micros) {
+        let (saved, next_save) = self.last_saved;
+        let Some((edition, bytes)) = self.lists.held().filter(|_| now >= next_save) else { return };
         let Some(confirmed) = self.lists.confirmed() else { return };
-        if kept == Some(edition) && now < at.plus(KEEP_AGAIN) {
+        if saved == Some(edition) && now < next_save.plus(CONFIRMATION_SAVE_INTERVAL) {
             return;
         }
-        self.kept = (Some(edition), now.plus(KEEP));
+        self.last_saved = (Some(edition), now.plus(MIN_SAVE_INTERVAL));
         let file = CachedList { edition, confirmed, bytes: bytes.to_vec() }.encode();
-        let (beside, place) = (self.folder.join("list.new"), self.folder.join(kept::FILE_NAME));
-        let written = std::fs::write(&beside, file).and_then(|()| std::fs::rename(&beside, &place));
+        let (temporary, path) = (self.folder.join("list.new"), self.folder.join(kept::FILE_NAME));
+        let written = std::fs::write(&temporary, file).and_then(|()| std::fs::rename(&temporary, &path));
         if let Err(problem) = written {
-            log!("the list is not kept in {}: {problem}; a start goes by an older one", place.display());
+            log!("the list is not saved in {}: {problem}; the next start uses an older one", path.display());
         }
     }
 
-    fn tell(&mut self, StateChange { id, incarnation, from, to, cause }: StateChange) {
+    fn log_change(&mut self, StateChange { id, incarnation, from, to, cause }: StateChange) {
         if to == State::Left {
             self.shares.record_departure();
         }
@@ -348,37 +368,37 @@
         self.node.next_wake().min(self.shares.next_wake()).min(lists).min(maintenance)
     }
 
-    /// The process is to end: says goodbye.
+    /// Announces to the members that this process ends.
     pub fn leave(&mut self) {
         self.node.leave(&mut self.outputs);
     }
 
-    /// For another poll.
+    /// Registers the socket with another poll.
     pub fn move_to(&self, poll: &mut Poll) -> std::io::Result<()> {
-        watch(poll, &self.socket)
+        register(poll, &self.socket)
     }
 
-    /// The socket, for the process that follows or a change of the settings.
+    /// The socket, for a successor or a change of the settings.
     pub fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 
-    /// See [`Handed`]. Cost: the members.
-    pub fn hand_over(&self) -> Handed {
+    /// See [`MembershipHandover`]. Cost: the members.
+    pub fn hand_over(&self) -> MembershipHandover {
         let live = self.node.members().filter(|member| member.state.live());
-        let peers = live.map(|member| member.id.address).take(MOST_HANDED).collect();
+        let peers = live.map(|member| member.id.address).take(MAX_PEERS_HANDED_OVER).collect();
         let epoch = self.lists.holding().map_or(0, |(edition, ..)| edition.epoch);
-        let lease = self.maintenance.as_ref().and_then(Maintenance::mine);
-        Handed { peers, last_whole: self.shares.last_whole(), epoch, lease }
+        let lease = self.maintenance.as_ref().and_then(Maintenance::own_lease);
+        MembershipHandover { peers, last_whole: self.shares.last_whole(), epoch, lease }
     }
 
-    /// Figures for operators' staff.
+    /// Statistics for operators.
     pub fn figures(&self, now: Micros) -> serde_json::Value {
         let stats = self.node.stats();
         let dropped = DropReason::ALL.iter().zip(stats.dropped);
         let dropped: serde_json::Map<_, _> =
             dropped.map(|(cause, count)| (cause.name().to_owned(), count.into())).collect();
-        let MemberCounts { alive, suspect, dead, left } = self.view;
+        let MemberCounts { alive, suspect, dead, left } = self.counts;
         json!({
             "alive": alive, "suspect": suspect, "dead": dead, "left": left,
             "view": self.shares.view_status().name(),
@@ -411,22 +431,22 @@
         })
     }
 
-    /// Each member, this one first. Cost: the members, for a call of operators' staff alone.
-    pub fn list(&self, now: Micros) -> serde_json::Value {
+    /// All members, this one first. Cost: the members, on an operator's call only.
+    pub fn members_json(&self, now: Micros) -> serde_json::Value {
         let ago = |at: Micros| (now.minus(at).0 / 1000) as f64 / 1e3;
         let me = self.node.me();
         let mut all = vec![json!({
             "name": me.name, "address": me.address.to_string(), "generation": me.generation,
             "incarnation": self.node.incarnation(), "state": "alive", "self": true,
         })];
-        all.extend(self.node.members().map(|seen| {
+        all.extend(self.node.members().map(|member| {
             json!({
-                "name": seen.id.name, "address": seen.id.address.to_string(),
-                "generation": seen.id.generation, "incarnation": seen.incarnation,
-                "state": seen.state.name(), "since_s": ago(seen.since), "heard_s": seen.heard.map(ago),
+                "name": member.id.name, "address": member.id.address.to_string(),
+                "generation": member.id.generation, "incarnation": member.incarnation,
+                "state": member.state.name(), "since_s": ago(member.since), "heard_s": member.heard.map(ago),
             })
         }));
-        let MemberCounts { alive, suspect, dead, left } = self.view;
+        let MemberCounts { alive, suspect, dead, left } = self.counts;
         json!({
             "view": self.shares.view_status().name(), "alive": alive, "suspect": suspect, "dead": dead,
             "left": left, "members": all,
@@ -434,8 +454,8 @@
     }
 }
 
-/// The list that is kept in a folder, if there is one that can be read; a line says why not.
-pub fn kept(folder: &Path) -> Option<CachedList> {
+/// Loads the cached list of a state folder, and logs why one that exists cannot be read.
+pub fn load_cached_list(folder: &Path) -> Option<CachedList> {
     let path = folder.join(kept::FILE_NAME);
     let length = std::fs::metadata(&path).ok()?.len();
     let read = match length > kept::MAX_FILE_BYTES as u64 {
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -1,5 +1,6 @@
-//! The loop: gathers what is ready, has the core take one turn with all of it, and carries out what came back. Between
-//! two turns a change of the configuration may be put in force: see `change`.
+//! The event loop. Each iteration collects the sockets that are ready, runs one step of the core with their
+//! inputs and executes the core's outputs. Between two iterations a configuration change may be put in force:
+//! see `change`.
 
 mod listing;
 mod operations;
@@ -7,12 +8,12 @@
 
 use super::admin::changes::QueuedChange;
 use super::admin::Admin;
-use super::change::Reload;
+use super::change::FileReload;
 use super::clients::amqp::AmqpFront;
 use super::clients::platform::HttpFront;
 use super::clients::HTTP_FRONT;
 use super::config::Config;
-use super::handover::{Follower, Seat};
+use super::handover::{FolderOwnership, SuccessorConnection};
 use super::list::dns_sd::DnsSd;
 use super::list::watch::DiscoveryWatch;
 use super::list::{EndpointList, ListEntry};
@@ -34,18 +35,18 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Longest wait in one turn.
-const LONGEST_WAIT: Micros = Micros(1_000_000);
-pub(super) use listing::entry;
-pub(super) use start::idle_time;
+/// Longest wait for events in one iteration.
+const MAX_POLL_WAIT: Micros = Micros(1_000_000);
+pub(super) use listing::broker_entry;
+pub(super) use start::endpoint_idle_time;
 
-/// What the command line says of a run.
+/// Options of the command line for a run.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// The operators' file.
     pub file: Option<PathBuf>,
-    /// It counts even where a version is kept.
-    pub fresh: bool,
+    /// The operators' file takes precedence over the stored versions.
+    pub ignore_stored_versions: bool,
 }
 
 pub(super) struct Node {
@@ -56,79 +57,80 @@
     pub publishers: Option<AmqpFront>,
     pub servers: EndpointConnections,
     pub brokers: BrokerConnections,
-    /// Service entries of the operators' file; they stand beside every whole list.
-    pub(super) own: Vec<ListEntry>,
+    /// Endpoint records of the operators' file. They are added to every complete list.
+    pub(super) configured_entries: Vec<ListEntry>,
     pub(super) endpoint_list: EndpointList,
     pub admin: Option<Admin>,
     pub dns_sd: Option<DnsSd>,
-    /// The other forwarders of the fleet; none while the operators' file has no `membership`.
+    /// The other forwarders of the fleet; `None` while the operators' file has no `membership` section.
     pub members: Option<Members>,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub(super) seed: u64,
     pub watch: DiscoveryWatch,
     pub reports: DeliveryReports,
     pub(super) signals: Signals,
     pub change_service: ChangeService,
-    /// Where versions are kept; nowhere where nobody gave an operators' file.
+    /// Stores the versions; `None` where no operators' file was ever given.
     pub store: Option<Store>,
     pub options: Options,
-    /// Changes that wait for their turn.
-    pub asks: VecDeque<QueuedChange>,
-    /// A file that is being read.
-    pub reload: Option<Reload>,
-    /// Where operators' staff call.
+    /// Configuration changes that wait for a later iteration.
+    pub queued_changes: VecDeque<QueuedChange>,
+    /// A reload whose file may still be changing.
+    pub reload: Option<FileReload>,
+    /// The operations API.
     pub(super) ops: Option<Ops>,
-    /// Where the process stands between its start and its end.
+    /// The stage of the process between its start and its end.
     pub life: lifecycle::Lifecycle,
-    /// The first calls of a start among many; none in an upgrade, without a membership, and once it is over.
+    /// Spreads the first calls of a start among many. `None` after an upgrade, without a membership, and once
+    /// the ramp is complete.
     pub(super) ramp: Option<Ramp>,
-    /// The folder that lasts.
+    /// The state folder.
     pub(super) folder: PathBuf,
-    /// The core has been told that no call may begin any more.
-    last_call: bool,
-    /// What the start made of the versions is still to be written.
-    pub(super) unkept: bool,
-    /// The folder's lock, and where the next process asks.
-    pub(super) seat: Option<Seat>,
-    /// The next process, once it has asked.
-    pub(super) follower: Option<Follower>,
-    /// Until then none is let in.
-    pub(super) barred_until: Micros,
-    /// How long the last turn took.
-    turn_time: Micros,
+    /// Set once the core has been told to start no more calls.
+    calls_stopped: bool,
+    /// The start changed the versions and has not stored them yet.
+    pub(super) versions_unsaved: bool,
+    /// The lock of the state folder and the socket on which a successor connects.
+    pub(super) folder_ownership: Option<FolderOwnership>,
+    /// The connection of a successor process.
+    pub(super) successor: Option<SuccessorConnection>,
+    /// No successor is accepted before this time.
+    pub(super) handover_blocked_until: Micros,
+    /// Duration of the last iteration.
+    iteration_time: Micros,
     pub inputs: Vec<Input>,
 }
 
-/// What a turn leads to.
-enum Next {
-    Turn,
-    End,
-    /// Another process has everything.
-    Followed,
+/// What the main loop does after an iteration.
+enum LoopControl {
+    Continue,
+    Exit,
+    /// A successor process has taken everything over.
+    HandedOver,
 }
 
-/// Runs until SIGTERM has come and what can be finished is finished.
+/// Runs until SIGTERM has arrived and all work that can be finished is finished.
 pub fn run(config: Config, options: Options, signals: Signals) -> Result<(), String> {
     let Some(mut node) = upgrade::start(config, options, signals)? else { return Ok(()) };
     loop {
-        match node.turn() {
-            Next::Turn => {}
-            Next::End => return Ok(()),
-            Next::Followed => return node.linger(),
+        match node.run_iteration() {
+            LoopControl::Continue => {}
+            LoopControl::Exit => return Ok(()),
+            LoopControl::HandedOver => return node.answer_until_stopped(),
         }
     }
 }
 
 impl Node {
-    /// One turn.
-    fn turn(&mut self) -> Next {
+    /// Runs one iteration of the event loop.
+    fn run_iteration(&mut self) -> LoopControl {
         let now = self.clock.now();
         let publishers = self.publishers.as_ref().and_then(AmqpFront::due);
         let dns_sd = self.dns_sd.as_ref().and_then(DnsSd::due);
         let admin = self.admin.as_ref().and_then(Admin::due);
         let ops = self.ops.as_ref().and_then(Ops::due);
         let life = self.life.due(now);
-        let own = [
+        let timers = [
             self.engine.next_due(),
             self.watch.due(),
             self.reports.due(),
@@ -139,43 +141,45 @@
             life,
         ];
         let members = self.members.as_ref().map(|members| members.due(now));
-        let change = [members, self.change_service.due(), self.reload.as_ref().map(Reload::due)];
+        let change = [members, self.change_service.due(), self.reload.as_ref().map(FileReload::due)];
         let peers = [self.servers.due(), self.brokers.due(), self.platform.due()];
-        let dues = own.into_iter().chain(change).chain(peers);
-        let due = dues.flatten().min().unwrap_or(Micros(u64::MAX));
-        let busy = !self.inputs.is_empty() || !self.asks.is_empty();
-        let due = if self.follower_waits() { due.min(now.plus(upgrade::LOOK_AGAIN)) } else { due };
-        let wait = if busy { Micros(0) } else { due.minus(now).min(LONGEST_WAIT) };
+        let deadlines = timers.into_iter().chain(change).chain(peers);
+        let due = deadlines.flatten().min().unwrap_or(Micros(u64::MAX));
+        let busy = !self.inputs.is_empty() || !self.queued_changes.is_empty();
+        let due =
+            if self.successor_waits() { due.min(now.plus(upgrade::HANDOVER_POLL_INTERVAL)) } else { due };
+        let wait = if busy { Micros(0) } else { due.minus(now).min(MAX_POLL_WAIT) };
         let mut ready = self.poll.wait(Duration::from_micros(wait.0));
-        upgrade::pass("polled");
+        upgrade::fault_point("polled");
         let now = self.clock.now();
         if now >= due {
-            // Something is too late by now: what has come by now goes before it, also where this process stood still
-            // between its look and its clock. All that was ready is so still.
+            // A timer has expired. Poll again so that input that has arrived by now is handled before the
+            // timer, also where the process was stopped between the poll and the clock reading. All events of
+            // the first poll are still ready.
             ready = self.poll.wait(Duration::ZERO);
         }
-        for one in ready {
-            self.gather(one, now);
+        for event in ready {
+            self.handle_ready(event, now);
         }
-        self.live(now);
+        self.apply_lifecycle(now);
         self.servers.tick(now, &mut self.inputs);
         self.brokers.tick(&self.poll, now, &mut self.inputs);
         self.platform.tick(&mut self.poll, now);
         if let Some(members) = &mut self.members {
             let divisor = members.tick(now);
             self.engine.set_forwarder_count(Some(divisor));
-            self.engine.set_starting_members(members.among().starting);
-            self.watch.enabled = members.may_ask(now);
-            if members.confirmed(now) {
+            self.engine.set_starting_members(members.start_position().starting);
+            self.watch.enabled = members.may_call_discovery(now);
+            if members.list_is_confirmed(now) {
                 self.life.list_confirmed();
             }
-            self.hear_members();
-            self.ramp_up(now);
-            self.maintain(now);
+            self.accept_member_list();
+            self.delay_first_calls(now);
+            self.run_maintenance(now);
         }
         let inputs = std::mem::take(&mut self.inputs);
         for output in self.engine.step(now, inputs) {
-            self.carry_out(output, now);
+            self.execute(output, now);
         }
         if let Some(front) = &mut self.publishers {
             front.tick(&self.poll, now, &mut self.inputs);
@@ -192,30 +196,30 @@
         let calls = self.watch.calls;
         self.watch.tick(&mut self.poll, now);
         if let Some(members) = self.members.as_mut().filter(|_| self.watch.calls > calls) {
-            members.asks(now);
+            members.discovery_called(now);
         }
         self.reports.tick(&mut self.poll, now);
-        self.turn_time = self.clock.now().minus(now);
-        self.between_turns(now, self.turn_time);
+        self.iteration_time = self.clock.now().minus(now);
+        self.apply_pending_changes(now, self.iteration_time);
         if self.hand_over(now) {
-            return Next::Followed;
+            return LoopControl::HandedOver;
         }
         if self.life.may_exit(now, self.platform.connection_count())
             && (self.life.stage() == Stage::HandedOver || !self.platform.has_unread_input())
         {
-            Next::End
+            LoopControl::Exit
         } else {
-            Next::Turn
+            LoopControl::Continue
         }
     }
 
-    fn gather(&mut self, Ready { peer, token }: Ready, now: Micros) {
+    fn handle_ready(&mut self, Ready { peer, token }: Ready, now: Micros) {
         match peer {
             Peer::Stop => {
                 drain(&self.signals.stop);
-                log!("told to stop");
+                log!("SIGTERM received: stopping");
                 self.life.stop(now);
-                self.live(now);
+                self.apply_lifecycle(now);
                 self.members.iter_mut().for_each(Members::leave);
             }
             Peer::Reload => {
@@ -226,20 +230,21 @@
             Peer::Client => self.platform.ready(&self.poll, token, now, &mut self.inputs),
             Peer::Endpoint => self.servers.ready(&self.poll, token, now, &mut self.inputs),
             Peer::Discovery => {
-                if let Some(mut news) = self.watch.ready(&mut self.poll, token, now) {
-                    let (generation, whole, none) = (news.generation, news.whole, news.entries.is_empty());
-                    if news.whole {
-                        // What other sources list stands beside it.
-                        news.entries.extend(self.own.iter().cloned());
-                        news.entries.extend(self.dns_sd.iter().flat_map(DnsSd::current).cloned());
+                if let Some(mut update) = self.watch.ready(&mut self.poll, token, now) {
+                    let (generation, whole, none) =
+                        (update.generation, update.whole, update.entries.is_empty());
+                    if update.whole {
+                        // A complete list of discovery does not contain the records of the other sources.
+                        update.entries.extend(self.configured_entries.iter().cloned());
+                        update.entries.extend(self.dns_sd.iter().flat_map(DnsSd::current).cloned());
                     }
-                    self.learn(news);
-                    self.tell_members(now, generation, whole || !none);
+                    self.apply_list(update);
+                    self.publish_list(now, generation, whole || !none);
                 }
             }
             Peer::Reports => {
-                let told = self.reports.ready(&self.poll, token);
-                self.inputs.extend(told.into_iter().map(Input::OutcomeReported));
+                let reported = self.reports.ready(&self.poll, token);
+                self.inputs.extend(reported.into_iter().map(Input::OutcomeReported));
             }
             Peer::AmqpListener => {
                 if let Some(front) = &mut self.publishers {
@@ -257,66 +262,68 @@
                     admin.accept(&mut self.poll, now);
                 }
             }
-            Peer::Admin => self.administer(token, now, None),
+            Peer::Admin => self.handle_admin_connection(token, now, None),
             Peer::OpsListener => {
                 if let Some(ops) = &mut self.ops {
                     ops.accept(&mut self.poll, now);
                 }
             }
-            Peer::Ops => self.operate(token, now),
+            Peer::Ops => self.handle_ops_connection(token, now),
             Peer::Members => {
                 if let Some(members) = &mut self.members {
                     members.ready(now);
                 }
             }
-            Peer::UpgradeListener => self.meet_follower(now),
-            Peer::Successor => self.hear_follower(now),
+            Peer::UpgradeListener => self.accept_successor(now),
+            Peer::Successor => self.read_successor(now),
             Peer::Resolver => {
-                let news = self.dns_sd.as_mut().and_then(|dns| dns.ready(&self.poll, token, now));
-                if let Some(news) = news {
-                    self.learn(news);
+                let update = self.dns_sd.as_mut().and_then(|dns| dns.ready(&self.poll, token, now));
+                if let Some(update) = update {
+                    self.apply_list(update);
                 }
             }
         }
     }
 
-    /// First calls wait for a moment of this forwarder's own, while many start.
-    fn ramp_up(&mut self, now: Micros) {
+    /// While many forwarders start, delays this forwarder's first calls to a moment of its own.
+    fn delay_first_calls(&mut self, now: Micros) {
         let (Some(ramp), Some(members)) = (&mut self.ramp, &self.members) else { return };
         for input in &self.inputs {
             if let Input::Submission(offer) = input {
                 ramp.message_waiting(now, offer.destination);
             }
         }
-        let first = ramp.send_rate(now);
-        self.engine.set_initial_rate(first);
-        if first.is_none() {
+        let rate = ramp.send_rate(now);
+        self.engine.set_initial_rate(rate);
+        if rate.is_none() {
             self.ramp = None;
             return;
         }
         let destinations = self.endpoint_list.0.values().map(|entry| entry.record.destination);
-        let waits: BTreeMap<_, _> = ramp.delays(now, members.among(), destinations).into_iter().collect();
-        if waits.is_empty() {
+        let delays: BTreeMap<_, _> =
+            ramp.delays(now, members.start_position(), destinations).into_iter().collect();
+        if delays.is_empty() {
             return;
         }
-        let told = |entry: &ListEntry| {
-            let until = waits.get(&entry.record.destination)?;
+        let hold_back = |entry: &ListEntry| {
+            let until = delays.get(&entry.record.destination)?;
             Some(Input::HoldBack(entry.record.endpoint, until.minus(now)))
         };
-        self.inputs.extend(self.endpoint_list.0.values().filter_map(told));
+        self.inputs.extend(self.endpoint_list.0.values().filter_map(hold_back));
     }
 
-    /// What the stage of the process's life asks for, in force from now on.
-    pub(super) fn live(&mut self, now: Micros) {
+    /// Applies the current lifecycle stage: readiness, the policy for client connections, and the end of
+    /// calls.
+    pub(super) fn apply_lifecycle(&mut self, now: Micros) {
         self.life.tick(now);
         self.platform.is_ready = self.life.accepts_clients();
         self.platform.connection_policy = self.life.connections(now);
-        if !self.life.may_call(now) && !std::mem::replace(&mut self.last_call, true) {
+        if !self.life.may_call(now) && !std::mem::replace(&mut self.calls_stopped, true) {
             self.inputs.push(Input::StopCalls);
         }
     }
 
-    fn carry_out(&mut self, output: Output, now: Micros) {
+    fn execute(&mut self, output: Output, now: Micros) {
         match output {
             Output::Reply(token, HTTP_FRONT, reply) => {
                 self.platform.reply(&self.poll, token, reply, &mut self.inputs);
@@ -330,8 +337,8 @@
                 self.brokers.call(&mut self.poll, now, (call, endpoint), items, &mut self.inputs);
             }
             Output::Call { call, endpoint, wait, leaves_by, items } => {
-                let order = Outgoing { call, endpoint, wait, send_deadline: leaves_by };
-                self.servers.call(&mut self.poll, now, order, &items, &mut self.inputs);
+                let outgoing = Outgoing { call, endpoint, wait, send_deadline: leaves_by };
+                self.servers.call(&mut self.poll, now, outgoing, &items, &mut self.inputs);
             }
             Output::Abort(call) => {
                 self.servers.abort(call);
@@ -340,7 +347,7 @@
             Output::ReportOutcome { message, front: HTTP_FRONT, id, outcome, .. } => {
                 self.reports.add(message, &id, outcome)
             }
-            // While the front is off, its ends stay owed.
+            // While the AMQP front is disabled, its delivery reports stay pending.
             Output::ReportOutcome { message, tenant, id, origin, outcome, .. } => {
                 if let Some(front) = &mut self.publishers {
                     front.queue_outcome(message, tenant, id, (&origin, outcome), &mut self.inputs);
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -3,7 +3,7 @@
 //! client fronts: it has few connections, short requests and a reserved file descriptor.
 
 use super::http::{self, Parsed, Request};
-use super::maintenance::Asked;
+use super::maintenance::MaintenanceRequest;
 use super::poll::{Peer, Poll};
 use super::stream::{self, Stream};
 use crate::lifecycle::{Lifecycle, Stage};
@@ -54,7 +54,7 @@
     /// List the maintenance plans and the forwarders that are out of service.
     MaintenancePlans,
     /// Request or cancel a maintenance plan; answered in a later loop iteration.
-    ChangeMaintenance(Asked),
+    ChangeMaintenance(MaintenanceRequest),
 }
 
 /// Answer to a command.
@@ -286,12 +286,12 @@
         "/ops/drain/start" => ("PUT", Command::StartDrain),
         "/ops/drain/stop" => ("PUT", Command::StopDrain),
         "/ops/maintenance" if request.method == "PUT" => {
-            ("PUT", Command::ChangeMaintenance(Asked::Round(request.body.clone())))
+            ("PUT", Command::ChangeMaintenance(MaintenanceRequest::Create(request.body.clone())))
         }
         "/ops/maintenance" => ("GET", Command::MaintenancePlans),
         _ if path.strip_prefix("/ops/maintenance/").is_some_and(|id| !id.is_empty()) => {
             let id = path.rsplit('/').next().unwrap_or_default().to_owned();
-            ("DELETE", Command::ChangeMaintenance(Asked::Cancel(id)))
+            ("DELETE", Command::ChangeMaintenance(MaintenanceRequest::Cancel(id)))
         }
         _ => return Err(Answer::plain(404, "no such path")),
     };
