--- a/tests/tenancy.rs
+++ b/tests/tenancy.rs
@@ -1,4 +1,4 @@
-//! Tenants beside each other in one core: what one takes leaves the others theirs.
+//! Isolation of tenants in one engine: the load of one tenant leaves the shares of the others available.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use common::{member, ms, settings, HOME, SAFE, UNSAFE};
 use std::collections::BTreeMap;
 
-/// A second destination; prompt where the first crawls.
-const AWAY: DestinationId = DestinationId(8);
+/// A second destination, whose response time differs from that of `HOME`.
+const OTHER: DestinationId = DestinationId(8);
 
-fn tenants(isolation: Vec<Isolation>) -> Settings {
+fn settings_with_tenants(isolation: Vec<Isolation>) -> Settings {
     let quotas = vec![1.0; isolation.len()];
     Settings {
         tenants: quotas,
@@ -25,60 +25,61 @@
     }
 }
 
-fn started(folder: &Folder, told: Settings) -> Engine {
-    let mut engine = start_with(&core(told), folder, 1 << 20, 1_000);
-    let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
+fn start_engine(folder: &Folder, settings: Settings) -> Engine {
+    let mut engine = start_with(&core(settings), folder, 1 << 20, 1_000);
+    let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { OTHER }, 1.0)).collect();
     engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     engine
 }
 
-fn offer_of(tenant: usize, destination: DestinationId, class: usize, id: &str) -> Input {
-    let Input::Submission(one) = offer(id, class, 10) else { unreachable!() };
-    Input::Submission(MessageSubmission { tenant, destination, time_left: ms(60_000), ..one })
+fn submission(tenant: usize, destination: DestinationId, class: usize, id: &str) -> Input {
+    let Input::Submission(template) = offer(id, class, 10) else { unreachable!() };
+    Input::Submission(MessageSubmission { tenant, destination, time_left: ms(60_000), ..template })
 }
 
-/// A partner behind each destination that takes so long, and what it was sent.
-struct Partners {
+/// An engine with simulated endpoints, which answer each call after a fixed time for each destination.
+struct Simulation {
     engine: Engine,
     now: u64,
-    takes: BTreeMap<DestinationId, u64>,
-    /// When each call that is out ends, and the destination and class of it.
-    out: BTreeMap<u64, (u64, DestinationId)>,
+    /// Response time of each destination, in milliseconds.
+    response_times: BTreeMap<DestinationId, u64>,
+    /// End time and destination of each call in flight, by call.
+    in_flight: BTreeMap<u64, (u64, DestinationId)>,
     delivered: BTreeMap<DestinationId, u32>,
-    /// Calls that have been begun since the last turn.
+    /// `Input::Written` of the calls that were started in the last loop iteration.
     written: Vec<Input>,
-    turned_down: u32,
-    taken_on: u32,
+    rejected: u32,
+    accepted: u32,
     aborted: u32,
 }
 
-impl Partners {
-    fn new(engine: Engine, home: u64, away: u64) -> Partners {
-        let takes = BTreeMap::from([(HOME, home), (AWAY, away)]);
-        let (out, delivered) = (BTreeMap::new(), BTreeMap::new());
+impl Simulation {
+    fn new(engine: Engine, home_ms: u64, other_ms: u64) -> Simulation {
+        let response_times = BTreeMap::from([(HOME, home_ms), (OTHER, other_ms)]);
+        let (in_flight, delivered) = (BTreeMap::new(), BTreeMap::new());
         let written = Vec::new();
-        Partners {
+        Simulation {
             engine,
             now: 1_000,
-            takes,
-            out,
+            response_times,
+            in_flight,
             delivered,
             written,
-            turned_down: 0,
-            taken_on: 0,
+            rejected: 0,
+            accepted: 0,
             aborted: 0,
         }
     }
 
-    /// A turn 10 ms later, with these offers.
-    fn step(&mut self, offers: Vec<Input>) {
+    /// Runs one loop iteration, 10 ms after the last one, with these submissions.
+    fn step(&mut self, submissions: Vec<Input>) {
         self.now += 10;
         let mut inputs = std::mem::take(&mut self.written);
-        inputs.extend(offers);
-        let over: Vec<u64> =
-            self.out.iter().filter(|(_, (at, _))| *at <= self.now).map(|(&call, _)| call).collect();
-        for call in over {
-            let (_, destination) = self.out.remove(&call).unwrap();
+        inputs.extend(submissions);
+        let ended: Vec<u64> =
+            self.in_flight.iter().filter(|(_, (at, _))| *at <= self.now).map(|(&call, _)| call).collect();
+        for call in ended {
+            let (_, destination) = self.in_flight.remove(&call).unwrap();
             *self.delivered.entry(destination).or_default() += 1;
             inputs.push(Input::Answered {
                 call,
@@ -89,197 +90,216 @@
         for output in self.engine.step(ms(self.now), inputs) {
             match output {
                 Output::Call { call, endpoint, .. } => {
-                    let destination = if endpoint.0 < 10 { HOME } else { AWAY };
-                    self.out.insert(call, (self.now + self.takes[&destination], destination));
+                    let destination = if endpoint.0 < 10 { HOME } else { OTHER };
+                    self.in_flight.insert(call, (self.now + self.response_times[&destination], destination));
                     self.written.push(Input::Written(call));
                 }
                 Output::Abort(call) => {
-                    self.out.remove(&call);
+                    self.in_flight.remove(&call);
                     self.aborted += 1;
                 }
-                Output::Reply(.., Reply::Accepted) => self.taken_on += 1,
-                Output::Reply(.., Reply::Rejected(after)) => {
-                    assert!(after.0 > 0);
-                    self.turned_down += 1;
+                Output::Reply(.., Reply::Accepted) => self.accepted += 1,
+                Output::Reply(.., Reply::Rejected(retry_after)) => {
+                    assert!(retry_after.0 > 0);
+                    self.rejected += 1;
                 }
                 _ => {}
             }
         }
     }
 
-    fn out_at(&self, destination: DestinationId) -> usize {
-        self.out.values().filter(|(_, at)| *at == destination).count()
+    fn in_flight_at(&self, destination: DestinationId) -> usize {
+        self.in_flight.values().filter(|(_, called)| *called == destination).count()
     }
 }
 
 #[test]
-fn a_tenant_whose_partner_crawls_leaves_another_its_slots_and_its_part_of_the_buffer() {
+fn tenant_with_a_slow_destination_leaves_another_its_slots_and_its_share_of_the_buffer() {
     let folder = Folder::new("crawl");
-    let engine = started(&folder, tenants(vec![Isolation::default(); 2]));
-    let mut partners = Partners::new(engine, 4_000, 10);
-    // One offers far more than there is room for; the other comes later, and steadily.
-    let mut heard = 0;
+    let engine = start_engine(&folder, settings_with_tenants(vec![Isolation::default(); 2]));
+    let mut simulation = Simulation::new(engine, 4_000, 10);
+    // The first tenant submits far more than there is capacity for; the second starts later, at a steady
+    // rate.
+    let mut submitted = 0;
     for step in 0..600 {
-        let mut offers: Vec<Input> =
-            (0..5).map(|one| offer_of(0, HOME, UNSAFE, &format!("bad{step}-{one}"))).collect();
+        let mut submissions: Vec<Input> =
+            (0..5).map(|index| submission(0, HOME, UNSAFE, &format!("slow{step}-{index}"))).collect();
         if step >= 100 && step % 5 == 0 {
-            offers.push(offer_of(1, AWAY, UNSAFE, &format!("good{step}")));
-            heard += 1;
+            submissions.push(submission(1, OTHER, UNSAFE, &format!("fast{step}")));
+            submitted += 1;
         }
-        partners.step(offers);
-        assert!(partners.out_at(HOME) <= 7, "a slot of the other's was taken");
+        simulation.step(submissions);
+        assert!(
+            simulation.in_flight_at(HOME) <= 7,
+            "the first tenant uses a slot that is kept for the second"
+        );
     }
     for _ in 0..10 {
-        partners.step(Vec::new());
+        simulation.step(Vec::new());
     }
-    // Payments that are out are not cut for it, and each of the other's was delivered at once.
-    assert_eq!((partners.delivered[&AWAY], partners.aborted), (heard, 0));
-    assert!(partners.out_at(HOME) >= 6, "what is idle is lent: {}", partners.out_at(HOME));
-    let (counts, _) = partners.engine.tenant_status(1);
-    assert_eq!((counts.accepted, counts.rejected), (u64::from(heard), 0));
-    assert!(partners.engine.tenant_status(0).0.open >= 60, "and so is the buffer");
+    // No payment in flight was aborted, and each message of the second tenant was delivered at once.
+    assert_eq!((simulation.delivered[&OTHER], simulation.aborted), (submitted, 0));
+    assert!(simulation.in_flight_at(HOME) >= 6, "idle slots are lent: {}", simulation.in_flight_at(HOME));
+    let (counts, _) = simulation.engine.tenant_status(1);
+    assert_eq!((counts.accepted, counts.rejected), (u64::from(submitted), 0));
+    assert!(simulation.engine.tenant_status(0).0.open >= 60, "idle buffer is lent");
 }
 
 #[test]
-fn a_lender_that_returns_has_its_slots_within_a_call_of_the_borrower() {
+fn lending_tenant_that_resumes_gets_its_slots_back_within_one_call_of_the_borrower() {
     let folder = Folder::new("lender");
-    let engine = started(&folder, tenants(vec![Isolation::default(); 2]));
-    let mut partners = Partners::new(engine, 500, 500);
+    let engine = start_engine(&folder, settings_with_tenants(vec![Isolation::default(); 2]));
+    let mut simulation = Simulation::new(engine, 500, 500);
     for step in 0..100 {
-        partners.step(vec![offer_of(0, HOME, UNSAFE, &format!("a{step}"))]);
+        simulation.step(vec![submission(0, HOME, UNSAFE, &format!("a{step}"))]);
     }
-    assert_eq!(partners.out_at(HOME), 7);
-    let began = partners.now;
-    let mut had_at = None;
+    assert_eq!(simulation.in_flight_at(HOME), 7);
+    let resumed_at = simulation.now;
+    let mut regained_after = None;
     for step in 0..100 {
-        let offers = vec![
-            offer_of(0, HOME, UNSAFE, &format!("b{step}")),
-            offer_of(1, AWAY, UNSAFE, &format!("c{step}")),
-            offer_of(1, AWAY, UNSAFE, &format!("d{step}")),
+        let submissions = vec![
+            submission(0, HOME, UNSAFE, &format!("b{step}")),
+            submission(1, OTHER, UNSAFE, &format!("c{step}")),
+            submission(1, OTHER, UNSAFE, &format!("d{step}")),
         ];
-        partners.step(offers);
-        assert!(partners.out_at(HOME) + partners.out_at(AWAY) <= 8);
-        if partners.out_at(AWAY) >= 4 {
-            had_at.get_or_insert(partners.now - began);
+        simulation.step(submissions);
+        assert!(simulation.in_flight_at(HOME) + simulation.in_flight_at(OTHER) <= 8);
+        if simulation.in_flight_at(OTHER) >= 4 {
+            regained_after.get_or_insert(simulation.now - resumed_at);
         }
     }
-    assert_eq!(partners.aborted, 0, "borrowed payments that are out are not cut");
-    assert!(had_at.is_some_and(|took| took <= 520), "its four slots after {had_at:?} ms");
+    assert_eq!(simulation.aborted, 0, "payments in flight in borrowed slots are not aborted");
+    assert!(
+        regained_after.is_some_and(|took| took <= 520),
+        "it has its four slots after {regained_after:?} ms"
+    );
 }
 
 #[test]
-fn a_ceiling_lowered_under_what_is_held_takes_nothing_away() {
+fn lowering_the_ceiling_below_the_held_messages_ends_none_of_them() {
     let folder = Folder::new("ceiling");
-    let told = |ceiling| {
+    let with_ceiling = |ceiling| {
         let held = ShareLimits { guarantee: None, ceiling: Some(ceiling) };
-        tenants(vec![Isolation { held, ..Isolation::default() }, Isolation::default()])
+        settings_with_tenants(vec![Isolation { held, ..Isolation::default() }, Isolation::default()])
     };
-    let engine = started(&folder, told(50));
-    let mut partners = Partners::new(engine, 300, 10);
-    partners.step((0..60).map(|one| offer_of(0, HOME, SAFE, &format!("m{one}"))).collect());
-    assert_eq!((partners.taken_on, partners.turned_down), (50, 10));
-    partners.engine.configure(&core(told(5)));
-    partners.step(vec![offer_of(0, HOME, SAFE, "more")]);
-    assert_eq!((partners.taken_on, partners.turned_down), (50, 11));
+    let engine = start_engine(&folder, with_ceiling(50));
+    let mut simulation = Simulation::new(engine, 300, 10);
+    simulation.step((0..60).map(|index| submission(0, HOME, SAFE, &format!("m{index}"))).collect());
+    assert_eq!((simulation.accepted, simulation.rejected), (50, 10));
+    simulation.engine.configure(&core(with_ceiling(5)));
+    simulation.step(vec![submission(0, HOME, SAFE, "more")]);
+    assert_eq!((simulation.accepted, simulation.rejected), (50, 11));
     for _ in 0..600 {
-        partners.step(Vec::new());
+        simulation.step(Vec::new());
     }
-    assert_eq!(partners.delivered[&HOME], 50, "each that was held has its end");
-    partners.step(vec![offer_of(0, HOME, SAFE, "fits")]);
-    assert_eq!(partners.taken_on, 51);
+    assert_eq!(simulation.delivered[&HOME], 50, "each held message is delivered");
+    simulation.step(vec![submission(0, HOME, SAFE, "fits")]);
+    assert_eq!(simulation.accepted, 51);
 }
 
 #[test]
-fn who_offers_faster_than_it_may_hears_when_to_come_back() {
+fn submission_above_the_arrival_rate_is_rejected_with_the_time_until_the_next_token() {
     let folder = Folder::new("arrivals");
     let arrivals = Some(Rate { per_second: 10.0, burst: 3 });
-    let told = tenants(vec![Isolation { arrivals, ..Isolation::default() }, Isolation::default()]);
-    let mut engine = started(&folder, told);
-    let mut ask =
-        |at: u64, tenant: usize, id: &str| reply_in(&engine.step(ms(at), [offer_of(tenant, AWAY, SAFE, id)]));
-    for one in 0..3 {
-        assert_eq!(ask(2_000, 0, &format!("a{one}")), Some(Reply::Accepted));
+    let settings =
+        settings_with_tenants(vec![Isolation { arrivals, ..Isolation::default() }, Isolation::default()]);
+    let mut engine = start_engine(&folder, settings);
+    let mut submit = |at: u64, tenant: usize, id: &str| {
+        reply_in(&engine.step(ms(at), [submission(tenant, OTHER, SAFE, id)]))
+    };
+    for index in 0..3 {
+        assert_eq!(submit(2_000, 0, &format!("a{index}")), Some(Reply::Accepted));
     }
-    let Some(Reply::Rejected(after)) = ask(2_000, 0, "b") else { panic!("taken on") };
-    assert_eq!(after, ms(100));
-    // A repeat of what was taken on is answered, not counted.
-    assert_eq!(ask(2_000, 0, "a0"), Some(Reply::Accepted));
-    assert_eq!(ask(2_000, 1, "c"), Some(Reply::Accepted));
-    assert_eq!(ask(2_100, 0, "b"), Some(Reply::Accepted));
+    let Some(Reply::Rejected(retry_after)) = submit(2_000, 0, "b") else { panic!("accepted") };
+    assert_eq!(retry_after, ms(100));
+    // A repeat of an accepted submission is answered, and does not count against the rate.
+    assert_eq!(submit(2_000, 0, "a0"), Some(Reply::Accepted));
+    assert_eq!(submit(2_000, 1, "c"), Some(Reply::Accepted));
+    assert_eq!(submit(2_100, 0, "b"), Some(Reply::Accepted));
 }
 
 #[test]
-fn at_a_destination_that_two_share_a_told_wait_binds_both_and_slots_are_parted() {
+fn destination_shared_by_two_tenants_divides_its_slots_evenly_and_its_retry_after_binds_both() {
     let folder = Folder::new("shared");
-    let engine = started(&folder, tenants(vec![Isolation::default(); 2]));
-    let mut partners = Partners::new(engine, 200, 10);
+    let engine = start_engine(&folder, settings_with_tenants(vec![Isolation::default(); 2]));
+    let mut simulation = Simulation::new(engine, 200, 10);
     for step in 0..300 {
-        let offers = (0..2).flat_map(|tenant| {
-            // One asks for three times as much: it gets no more for that.
+        let submissions = (0..2).flat_map(|tenant| {
+            // The first tenant submits three times as much, and gets no more slots for it.
             let count = [6, 2][tenant];
-            (0..count).map(move |one| offer_of(tenant, HOME, SAFE, &format!("t{tenant}-{step}-{one}")))
+            (0..count).map(move |index| submission(tenant, HOME, SAFE, &format!("t{tenant}-{step}-{index}")))
         });
-        partners.step(offers.collect());
+        simulation.step(submissions.collect());
     }
-    let delivered = [0, 1].map(|tenant| partners.engine.tenant_status(tenant).0.delivered);
+    let delivered = [0, 1].map(|tenant| simulation.engine.tenant_status(tenant).0.delivered);
     let ratio = delivered[0] as f64 / delivered[1] as f64;
     assert!((0.9..1.1).contains(&ratio), "{delivered:?}");
-    let wait = Some(ms(1_000));
-    let (&call, _) = partners.out.iter().next().unwrap();
-    partners.out.clear();
-    let told = Input::Answered {
+    let retry_after = Some(ms(1_000));
+    let (&call, _) = simulation.in_flight.iter().next().unwrap();
+    simulation.in_flight.clear();
+    let rejection = Input::Answered {
         call,
-        results: vec![(0, AttemptOutcome::Rejected { retry_after: wait }, false)],
-        wait,
+        results: vec![(0, AttemptOutcome::Rejected { retry_after }, false)],
+        wait: retry_after,
     };
-    let until = partners.now + 1_000;
-    partners.step(vec![told]);
-    partners.out.clear();
-    while partners.now < until {
-        let step = partners.now;
-        partners
-            .step((0..2).map(|tenant| offer_of(tenant, HOME, SAFE, &format!("w{tenant}-{step}"))).collect());
-        assert!(partners.now >= until || partners.out.is_empty(), "a call within a told wait");
+    let until = simulation.now + 1_000;
+    simulation.step(vec![rejection]);
+    simulation.in_flight.clear();
+    while simulation.now < until {
+        let step = simulation.now;
+        simulation.step(
+            (0..2).map(|tenant| submission(tenant, HOME, SAFE, &format!("w{tenant}-{step}"))).collect(),
+        );
+        assert!(simulation.now >= until || simulation.in_flight.is_empty(), "a call within the retry-after");
     }
 }
 
 #[test]
-fn an_owner_refused_where_all_is_full_has_what_a_borrower_gives_back() {
+fn tenant_rejected_below_its_guarantee_gets_the_capacity_that_the_borrower_returns() {
     let folder = Folder::new("claim");
-    // As many held as there are slots, so that the module sheds none.
-    let engine = started(&folder, Settings { max_messages: 8, ..tenants(vec![Isolation::default(); 2]) });
-    let mut partners = Partners::new(engine, 300, 300);
-    for (tenant, home, count) in [(0, HOME, 7), (1, AWAY, 1)] {
-        let offers = (0..count).map(|one| offer_of(tenant, home, UNSAFE, &format!("{tenant}-{one}")));
-        partners.step(offers.collect());
+    // As many messages as slots, so that the dispatcher sheds none.
+    let engine = start_engine(
+        &folder,
+        Settings { max_messages: 8, ..settings_with_tenants(vec![Isolation::default(); 2]) },
+    );
+    let mut simulation = Simulation::new(engine, 300, 300);
+    for (tenant, destination, count) in [(0, HOME, 7), (1, OTHER, 1)] {
+        let submissions =
+            (0..count).map(|index| submission(tenant, destination, UNSAFE, &format!("{tenant}-{index}")));
+        simulation.step(submissions.collect());
     }
-    assert_eq!((partners.taken_on, partners.turned_down), (8, 0));
-    partners.step(vec![offer_of(1, AWAY, UNSAFE, "own")]);
-    assert_eq!((partners.taken_on, partners.turned_down), (8, 1));
-    // The borrower asks first for what it gives back, and keeps to its guarantee until the owner has come again.
+    assert_eq!((simulation.accepted, simulation.rejected), (8, 0));
+    simulation.step(vec![submission(1, OTHER, UNSAFE, "own")]);
+    assert_eq!((simulation.accepted, simulation.rejected), (8, 1));
+    // The borrower submits before the owner does, but is held to its guarantee until the owner submits again.
     for step in 0..50 {
-        partners.step(vec![offer_of(0, HOME, UNSAFE, &format!("again{step}"))]);
+        simulation.step(vec![submission(0, HOME, UNSAFE, &format!("again{step}"))]);
     }
-    assert_eq!(partners.delivered[&HOME], 7);
-    assert_eq!(partners.engine.tenant_status(0).0.open, 4, "its guarantee, and nothing that is the other's");
-    partners.step(vec![offer_of(1, AWAY, UNSAFE, "own")]);
-    assert_eq!(partners.engine.tenant_status(1).0.accepted, 2);
+    assert_eq!(simulation.delivered[&HOME], 7);
+    assert_eq!(
+        simulation.engine.tenant_status(0).0.open,
+        4,
+        "the guarantee, and none of the other tenant's share"
+    );
+    simulation.step(vec![submission(1, OTHER, UNSAFE, "own")]);
+    assert_eq!(simulation.engine.tenant_status(1).0.accepted, 2);
 }
 
-/// Ends that a tenant does not take up have bytes of its own; another's messages still find theirs.
+/// Final outcomes that a tenant has not confirmed count against its own share of the journal, so that they do
+/// not fill the share of another tenant.
 #[test]
-fn a_tenant_that_takes_up_none_of_its_ends_leaves_another_its_part_of_the_journal() {
+fn tenant_with_unconfirmed_outcomes_leaves_another_its_share_of_the_journal() {
     let folder = Folder::new("owed");
-    let told = tenants(vec![Isolation::default(); 2]);
-    let mut engine = start_with(&core(told), &folder, 1 << 17, 1_000);
-    let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { AWAY }, 1.0)).collect();
+    let settings = settings_with_tenants(vec![Isolation::default(); 2]);
+    let mut engine = start_with(&core(settings), &folder, 1 << 17, 1_000);
+    let list = (0..20).map(|number| member(number, if number < 10 { HOME } else { OTHER }, 1.0)).collect();
     engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
-    let (mut now, mut refused) = (1_010, 0);
-    let mut offered = |engine: &mut Engine, tenant: usize, destination, id: &str| {
-        let Input::Submission(one) = offer_of(tenant, destination, SAFE, id) else { unreachable!() };
-        let one = MessageSubmission { front: 1, report_delivery: true, ..one };
+    let (mut now, mut rejected) = (1_010, 0);
+    let mut submit = |engine: &mut Engine, tenant: usize, destination, id: &str| {
+        let Input::Submission(template) = submission(tenant, destination, SAFE, id) else { unreachable!() };
+        let message = MessageSubmission { front: 1, report_delivery: true, ..template };
         now += 10;
-        let outputs = engine.step(ms(now), [Input::Submission(one)]);
+        let outputs = engine.step(ms(now), [Input::Submission(message)]);
         for output in &outputs {
             if let Output::Call { call, .. } = output {
                 let answered = Input::Answered {
@@ -293,19 +313,20 @@
         reply_in(&outputs)
     };
     for number in 0..2_000 {
-        refused += u32::from(offered(&mut engine, 0, HOME, &format!("a{number}")) != Some(Reply::Accepted));
+        rejected += u32::from(submit(&mut engine, 0, HOME, &format!("a{number}")) != Some(Reply::Accepted));
     }
-    assert!(refused > 1_000, "{refused} refused");
+    assert!(rejected > 1_000, "{rejected} rejected");
     for number in 0..20 {
-        let reply = offered(&mut engine, 1, AWAY, &format!("b{number}"));
+        let reply = submit(&mut engine, 1, OTHER, &format!("b{number}"));
         assert_eq!(reply, Some(Reply::Accepted), "message {number}");
     }
 }
 
-/// Any number of tenants with any guarantees, loads and call times, at partners that take whatever comes: no call begins for
-/// one above its guarantee in a turn that leaves another below its own with something to send, and each message has one end.
+/// Random numbers of tenants with random guarantees, loads and call times, at endpoints that deliver every
+/// message. No loop iteration starts a call for a tenant above its guarantee and leaves another that is below
+/// its own with a message to send; and each message is delivered once.
 #[test]
-fn no_call_begins_above_a_guarantee_while_one_below_waits() {
+fn call_of_a_tenant_above_its_guarantee_never_starts_while_one_below_its_own_waits() {
     for seed in 0..25u64 {
         println!("seed {seed}");
         let mut random = fastrand::Rng::with_seed(seed);
@@ -316,53 +337,56 @@
             slots: ShareLimits { guarantee: guarantee(&mut random), ceiling: None },
             ..Isolation::default()
         });
-        let told = tenants(isolation.collect());
+        let settings = settings_with_tenants(isolation.collect());
         let folder = Folder::new(&format!("guarantees{seed}"));
-        let mut engine = started(&folder, told);
-        let takes: Vec<u64> = (0..count).map(|_| random.u64(20..900)).collect();
+        let mut engine = start_engine(&folder, settings);
+        let response_times: Vec<u64> = (0..count).map(|_| random.u64(20..900)).collect();
         let loads: Vec<u32> = (0..count).map(|_| random.u32(0..6)).collect();
-        let (mut out, mut ends, mut written) = (Vec::<(u64, u64)>::new(), 0, Vec::new());
+        let (mut in_flight, mut delivered_calls, mut written) = (Vec::<(u64, u64)>::new(), 0, Vec::new());
         for step in 0..500u64 {
             let now = 1_010 + step * 10;
             let mut inputs: Vec<Input> = std::mem::take(&mut written);
-            out.retain(|&(at, call)| {
+            in_flight.retain(|&(at, call)| {
                 if at <= now {
                     inputs.push(Input::Answered {
                         call,
                         results: vec![(0, AttemptOutcome::Delivered, true)],
                         wait: None,
                     });
-                    ends += 1;
+                    delivered_calls += 1;
                 }
                 at > now
             });
             for (tenant, &load) in loads.iter().enumerate() {
-                // Loads come and go, so that guarantees are lent and wanted back.
+                // Loads alternate, so that guarantees are lent and claimed back.
                 let busy = !(step / 100 + tenant as u64).is_multiple_of(3);
-                let offers = if busy { random.u32(0..=load) } else { 0 };
-                let home = if tenant % 2 == 0 { HOME } else { AWAY };
-                inputs.extend(
-                    (0..offers).map(|one| offer_of(tenant, home, UNSAFE, &format!("{tenant}-{step}-{one}"))),
-                );
+                let submissions = if busy { random.u32(0..=load) } else { 0 };
+                let destination = if tenant % 2 == 0 { HOME } else { OTHER };
+                inputs.extend((0..submissions).map(|index| {
+                    submission(tenant, destination, UNSAFE, &format!("{tenant}-{step}-{index}"))
+                }));
             }
-            let mut began = Vec::new();
+            let mut started = Vec::new();
             for output in engine.step(ms(now), inputs) {
-                assert!(!matches!(output, Output::Abort(_)), "a call was cut");
+                assert!(!matches!(output, Output::Abort(_)), "a call was aborted");
                 if let Output::Call { call, items, .. } = output {
                     let tenant = usize::from(items[0].id[0] - b'0');
-                    began.push(tenant);
-                    out.push((now + takes[tenant], call));
+                    started.push(tenant);
+                    in_flight.push((now + response_times[tenant], call));
                     written.push(Input::Written(call));
                 }
             }
             let slots = |tenant: usize| engine.tenant_shares(tenant)[0];
-            let waits = |tenant: usize| engine.tenant_status(tenant).0.open > slots(tenant).1;
+            let has_waiting = |tenant: usize| engine.tenant_status(tenant).0.open > slots(tenant).1;
             let below =
-                (0..count).find(|&tenant| slots(tenant).1 < slots(tenant).2.guarantee && waits(tenant));
-            let above = began.iter().find(|&&tenant| slots(tenant).1 > slots(tenant).2.guarantee);
-            assert!(below.is_none() || above.is_none(), "step {step}: {above:?} before {below:?}");
+                (0..count).find(|&tenant| slots(tenant).1 < slots(tenant).2.guarantee && has_waiting(tenant));
+            let above = started.iter().find(|&&tenant| slots(tenant).1 > slots(tenant).2.guarantee);
+            assert!(
+                below.is_none() || above.is_none(),
+                "step {step}: tenant {above:?} was served before tenant {below:?}"
+            );
         }
         let delivered: u64 = (0..count).map(|tenant| engine.tenant_status(tenant).0.delivered).sum();
-        assert_eq!(delivered, ends);
+        assert_eq!(delivered, delivered_calls);
     }
 }
