--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Many senders in one process against one destination that all share: it has a limit, refused calls count against it, and it
-//! holds few connections. Plain and small: it moves in steps of 10 ms and knows nothing of what the senders decide by.
+//! Simulation of many forwarders that share one destination, in one process. The destination has a limit,
+//! rejected calls count against the limit, and it holds few connections. The simulation is kept simple: it
+//! moves in steps of 10 ms and uses no state of the forwarders.
 
 mod common;
 use cedarwharf::report::Report;
@@ -7,53 +8,69 @@
 use common::*;
 use std::collections::BTreeMap;
 
-const STEP: u64 = 10;
-const SERVICE: u64 = 100;
+const STEP_MS: u64 = 10;
+const SERVICE_MS: u64 = 100;
 
-/// What the fleet added up to.
+/// Counts over the whole fleet.
 #[derive(Debug, Default)]
-struct Sums {
-    asked: f64,
+struct FleetCounts {
+    submitted: f64,
     delivered: f64,
-    refused: f64,
-    /// Delivered by each sender, and asked of each.
-    each: Vec<(f64, f64)>,
+    rejected: f64,
+    /// Messages delivered by each forwarder, and submitted to it.
+    by_forwarder: Vec<(f64, f64)>,
+    /// Calls in each second: served, and not served.
     by_second: Vec<[u32; 2]>,
 }
 
-struct Scene {
-    senders: u32,
-    /// Messages a second in the whole fleet, and the limit in calls a second.
+struct Scenario {
+    forwarders: u32,
+    /// Messages per second over the whole fleet.
     load: f64,
+    /// Calls per second that the destination serves.
     limit: f64,
-    /// The limit is half of that between these seconds.
-    half: (u64, u64),
-    /// It is down between these, and comes back cold.
+    /// Seconds between which the limit is halved.
+    halved: (u64, u64),
+    /// Seconds between which the destination is down; afterwards it recovers from little capacity.
     down: (u64, u64),
-    /// The number of senders that each is told.
-    told: Option<u32>,
-    /// How much more than an even part the first sender is asked for.
-    clump: f64,
+    /// The number of forwarders in the settings, where it differs from `forwarders`.
+    configured_forwarders: Option<u32>,
+    /// Load of the first forwarder in multiples of that of each other forwarder.
+    first_factor: f64,
+    /// Whether answers carry load reports.
     reports: bool,
-    wait: Option<u64>,
+    /// Retry-after of rejected calls, in milliseconds.
+    retry_after_ms: Option<u64>,
     seed: u64,
 }
 
-impl Default for Scene {
+impl Default for Scenario {
     fn default() -> Self {
-        let (half, down, clump, wait) = ((0, 0), (0, 0), 1.0, None);
-        let (senders, load, limit) = (100, 40.0, 50.0);
-        Scene { senders, load, limit, half, down, told: None, clump, reports: true, wait, seed: 1 }
+        let (halved, down, first_factor, retry_after_ms) = ((0, 0), (0, 0), 1.0, None);
+        let (forwarders, load, limit) = (100, 40.0, 50.0);
+        Scenario {
+            forwarders,
+            load,
+            limit,
+            halved,
+            down,
+            configured_forwarders: None,
+            first_factor,
+            reports: true,
+            retry_after_ms,
+            seed: 1,
+        }
     }
 }
 
-fn play(scene: &Scene, seconds: u64) -> Sums {
-    let mut random = fastrand::Rng::with_seed(scene.seed);
-    let mut told = settings();
-    (told.forwarders, told.weights) = (scene.told.unwrap_or(scene.senders), Weights::Absent);
-    told.max_retry_after = ms(3_000);
-    let one = |seed| {
-        let mut dispatcher = Dispatcher::new(told.clone(), seed);
+fn simulate(scenario: &Scenario, seconds: u64) -> FleetCounts {
+    let mut random = fastrand::Rng::with_seed(scenario.seed);
+    let mut settings = settings();
+    (settings.forwarders, settings.weights) =
+        (scenario.configured_forwarders.unwrap_or(scenario.forwarders), Weights::Absent);
+    settings.max_retry_after = ms(3_000);
+    let new_dispatcher = |seed| {
+        let mut dispatcher = Dispatcher::new(settings.clone(), seed);
         dispatcher.handle(
             ms(1),
             [Event::EndpointRecords(ListScope::Cached, vec![member(1, HOME, 1.0)])],
@@ -61,163 +78,189 @@
         );
         dispatcher
     };
-    let mut fleet: Vec<Dispatcher> = (0..scene.senders).map(|_| one(random.u64(..))).collect();
-    let mut sums = Sums { each: vec![(0.0, 0.0); fleet.len()], ..Sums::default() };
+    let mut fleet: Vec<Dispatcher> =
+        (0..scenario.forwarders).map(|_| new_dispatcher(random.u64(..))).collect();
+    let mut counts = FleetCounts { by_forwarder: vec![(0.0, 0.0); fleet.len()], ..FleetCounts::default() };
     let mut attempts: BTreeMap<(usize, u32), u32> = BTreeMap::new();
-    let mut due: BTreeMap<u64, Vec<(usize, Event)>> = BTreeMap::new();
-    let (mut tokens, mut next, mut seen) = (scene.limit * 0.5, 0, (1.0, scene.limit));
-    let whole = f64::from(scene.senders) - 1.0 + scene.clump;
-    for step in 1..seconds * 1_000 / STEP {
-        let (now, second) = (step * STEP, step * STEP / 1_000);
-        let halved = (scene.half.0..scene.half.1).contains(&second);
-        let limit = if halved { scene.limit / 2.0 } else { scene.limit };
-        tokens = (tokens + limit * STEP as f64 / 1e3).min(limit * 0.5);
+    let mut pending_events: BTreeMap<u64, Vec<(usize, Event)>> = BTreeMap::new();
+    let (mut tokens, mut last_id, mut reported) = (scenario.limit * 0.5, 0, (1.0, scenario.limit));
+    let load_units = f64::from(scenario.forwarders) - 1.0 + scenario.first_factor;
+    for step in 1..seconds * 1_000 / STEP_MS {
+        let (now, second) = (step * STEP_MS, step * STEP_MS / 1_000);
+        let is_halved = (scenario.halved.0..scenario.halved.1).contains(&second);
+        let limit = if is_halved { scenario.limit / 2.0 } else { scenario.limit };
+        tokens = (tokens + limit * STEP_MS as f64 / 1e3).min(limit * 0.5);
         if now % 400 == 0 {
-            seen = ((tokens / (limit * 0.5)).clamp(0.0, 1.0), limit);
+            reported = ((tokens / (limit * 0.5)).clamp(0.0, 1.0), limit);
         }
-        sums.by_second.resize(second as usize + 1, [0; 2]);
-        let mut heard_by: Vec<Vec<Event>> = vec![Vec::new(); fleet.len()];
-        due.remove(&now).into_iter().flatten().for_each(|(at, event)| heard_by[at].push(event));
-        for (at, sender) in fleet.iter_mut().enumerate() {
-            let mut events = std::mem::take(&mut heard_by[at]);
-            let part = scene.load / whole * if at == 0 { scene.clump } else { 1.0 };
-            if random.f64() < part * STEP as f64 / 1e3 {
-                next += 1;
-                (sums.asked, sums.each[at].1) = (sums.asked + 1.0, sums.each[at].1 + 1.0);
-                events.push(handed_in(next, HOME, ms(12_000), SAFE, None));
+        counts.by_second.resize(second as usize + 1, [0; 2]);
+        let mut events_for: Vec<Vec<Event>> = vec![Vec::new(); fleet.len()];
+        pending_events
+            .remove(&now)
+            .into_iter()
+            .flatten()
+            .for_each(|(index, event)| events_for[index].push(event));
+        for (index, forwarder) in fleet.iter_mut().enumerate() {
+            let mut events = std::mem::take(&mut events_for[index]);
+            let load = scenario.load / load_units * if index == 0 { scenario.first_factor } else { 1.0 };
+            if random.f64() < load * STEP_MS as f64 / 1e3 {
+                last_id += 1;
+                (counts.submitted, counts.by_forwarder[index].1) =
+                    (counts.submitted + 1.0, counts.by_forwarder[index].1 + 1.0);
+                events.push(handed_in(last_id, HOME, ms(12_000), SAFE, None));
             }
             events.push(Event::Wake);
-            let mut said = Vec::new();
-            sender.handle(ms(1_000 + now), events, &mut said);
-            for id in sends(&said) {
-                let attempt = attempts.entry((at, id)).or_default();
+            let mut actions = Vec::new();
+            forwarder.handle(ms(1_000 + now), events, &mut actions);
+            for id in sends(&actions) {
+                let attempt = attempts.entry((index, id)).or_default();
                 *attempt += 1;
-                // A refused call uses the limit up as a served one does.
+                // A rejected call uses up the limit as a served one does.
                 tokens = (tokens - 1.0).max(-0.2 * limit);
-                let down = (scene.down.0..scene.down.1).contains(&second);
+                let down = (scenario.down.0..scenario.down.1).contains(&second);
                 let served = tokens >= 0.0 && !down;
-                sums.by_second[second as usize][usize::from(!served)] += 1;
-                let wait = scene.wait.map(ms);
+                counts.by_second[second as usize][usize::from(!served)] += 1;
+                let retry_after = scenario.retry_after_ms.map(ms);
                 let outcome = match (served, down) {
                     (true, _) => AttemptOutcome::Delivered,
                     (_, true) => AttemptOutcome::ConnectFailed,
-                    _ => AttemptOutcome::Rejected { retry_after: wait },
+                    _ => AttemptOutcome::Rejected { retry_after },
                 };
                 if served {
-                    (sums.delivered, sums.each[at].0) = (sums.delivered + 1.0, sums.each[at].0 + 1.0);
+                    (counts.delivered, counts.by_forwarder[index].0) =
+                        (counts.delivered + 1.0, counts.by_forwarder[index].0 + 1.0);
                 } else {
-                    sums.refused += 1.0;
+                    counts.rejected += 1.0;
                 }
-                let spent = SERVICE + random.u64(0..5) * STEP;
-                let settled = Event::AttemptEnded {
+                let spent = SERVICE_MS + random.u64(0..5) * STEP_MS;
+                let attempt_ended = Event::AttemptEnded {
                     id: MessageId(id),
                     attempt: *attempt - 1,
                     outcome,
                     spent: ms(spent),
                     closed: served,
                 };
-                let report = Report::new(seen.0, seen.1).filter(|_| scene.reports && !down);
-                let heard =
-                    report.map(|report| Event::Report(EndpointId(1), report)).into_iter().chain([settled]);
-                due.entry(now + spent).or_default().extend(heard.map(|event| (at, event)));
+                let report = Report::new(reported.0, reported.1).filter(|_| scenario.reports && !down);
+                let events = report
+                    .map(|report| Event::Report(EndpointId(1), report))
+                    .into_iter()
+                    .chain([attempt_ended]);
+                pending_events.entry(now + spent).or_default().extend(events.map(|event| (index, event)));
             }
         }
     }
     println!(
-        "seed {}: {} asked, {} delivered, {} refused",
-        scene.seed, sums.asked, sums.delivered, sums.refused
+        "seed {}: {} submitted, {} delivered, {} rejected",
+        scenario.seed, counts.submitted, counts.delivered, counts.rejected
     );
-    sums
+    counts
 }
 
-/// Asked for more than the limit, a fleet uses it, and does not spend it on refusals.
+/// With a load above the limit a fleet uses the limit, and does not spend it on rejected calls.
 #[test]
-fn a_hundred_deliver_what_three_do_at_the_same_load() {
+fn hundred_forwarders_at_a_load_above_the_limit_deliver_four_fifths_of_what_three_do() {
     for seed in 1..4 {
-        let few = play(&Scene { senders: 3, load: 58.0, seed, ..Scene::default() }, 30);
-        let many = play(&Scene { load: 58.0, seed, ..Scene::default() }, 30);
-        // Each of a hundred sees a hundredth of what happens, and learns of a spent limit by a call of its own: 0.87
-        // to 0.94 was measured.
-        assert!(many.delivered / many.asked > 0.8 * few.delivered / few.asked, "{few:?}\n{many:?}");
-        assert!(many.refused < 0.2 * many.delivered, "{}", many.refused);
+        let few = simulate(&Scenario { forwarders: 3, load: 58.0, seed, ..Scenario::default() }, 30);
+        let many = simulate(&Scenario { load: 58.0, seed, ..Scenario::default() }, 30);
+        // Each of a hundred forwarders sees a hundredth of the calls, and learns of an exhausted limit from
+        // its own calls: the measured ratio is 0.87 to 0.94.
+        assert!(many.delivered / many.submitted > 0.8 * few.delivered / few.submitted, "{few:?}\n{many:?}");
+        assert!(many.rejected < 0.2 * many.delivered, "{}", many.rejected);
     }
 }
 
-/// The floor of a pace by own demand kept a fleet above a limit that had been halved, and nothing was served for as long.
+/// Guards against a floor of the send rate that follows a forwarder's own demand: it kept a fleet above a
+/// halved limit, and nothing was served until the limit rose again.
 #[test]
-fn a_limit_that_falls_by_half_goes_on_being_used() {
+fn fleet_goes_on_using_a_limit_that_falls_by_half() {
     for seed in 1..4 {
-        let scene = Scene { load: 42.0, half: (10, 19), seed, ..Scene::default() };
-        let sums = play(&scene, 40);
-        let served = |from: usize, to: usize| sums.by_second[from..to].iter().map(|one| one[0]).sum::<u32>();
+        let scenario = Scenario { load: 42.0, halved: (10, 19), seed, ..Scenario::default() };
+        let counts = simulate(&scenario, 40);
+        let served =
+            |from: usize, to: usize| counts.by_second[from..to].iter().map(|calls| calls[0]).sum::<u32>();
         assert!(
             served(12, 19) > 7 * 25 * 3 / 10,
-            "three tenths of what is left are used: {:?}",
-            sums.by_second
+            "three tenths of the halved limit are used: {:?}",
+            counts.by_second
+        );
+        assert!(
+            served(21, 30) > 9 * 42 * 8 / 10,
+            "the load is served soon after the limit is restored: {:?}",
+            counts.by_second
         );
-        assert!(served(21, 30) > 9 * 42 * 8 / 10, "and all of it soon after: {:?}", sums.by_second);
     }
 }
 
 #[test]
-fn a_clump_at_one_sender_is_served_where_the_others_leave_room() {
+fn forwarder_with_a_third_of_the_load_delivers_it_where_the_others_leave_capacity() {
     for seed in 1..4 {
-        // The first sender is asked for a third of all.
-        let sums = play(&Scene { load: 30.0, clump: 50.0, seed, ..Scene::default() }, 30);
-        let (delivered, asked) = sums.each[0];
-        assert!(delivered > 0.9 * asked, "{delivered} of {asked}");
+        // The first forwarder gets a third of the load.
+        let counts = simulate(&Scenario { load: 30.0, first_factor: 50.0, seed, ..Scenario::default() }, 30);
+        let (delivered, submitted) = counts.by_forwarder[0];
+        assert!(delivered > 0.9 * submitted, "{delivered} of {submitted}");
     }
 }
 
-/// Told waits that end together must not bring all back together.
+/// Forwarders whose retry-after ends at the same time must not all call again at the same time.
 #[test]
-fn told_waits_that_end_together_do_not_fill_the_limit_with_refusals() {
+fn retry_afters_that_end_together_do_not_fill_the_limit_with_rejected_calls() {
     for seed in 1..4 {
-        let sums = play(&Scene { load: 58.0, wait: Some(500), seed, ..Scene::default() }, 30);
-        assert!(sums.refused < 0.25 * sums.delivered, "{} of {}", sums.refused, sums.delivered);
+        let counts =
+            simulate(&Scenario { load: 58.0, retry_after_ms: Some(500), seed, ..Scenario::default() }, 30);
+        assert!(counts.rejected < 0.25 * counts.delivered, "{} of {}", counts.rejected, counts.delivered);
     }
 }
 
-/// Rule 4 over the whole fleet: after an outage that some saw often, some once and some not at all, what all of them send
-/// stays under the rule's multiple of what a destination can do that warms up from a fifth.
+/// Rule 4 over the whole fleet: after an outage that some forwarders met often, some once and some not at
+/// all, the sum of their calls stays under the rule's multiple of the capacity of a destination that recovers
+/// from a fifth of it.
 #[test]
-fn a_destination_that_returns_cold_is_not_flooded_by_the_sum() {
+fn sum_of_the_calls_to_a_recovering_destination_stays_under_the_overload_multiple() {
     for seed in 1..4 {
         let down = (10, 15);
-        let sums = play(&Scene { load: 40.0, limit: 50.0, down, clump: 20.0, seed, ..Scene::default() }, 40);
-        let rules = settings();
-        let span = 3;
+        let counts = simulate(
+            &Scenario { load: 40.0, limit: 50.0, down, first_factor: 20.0, seed, ..Scenario::default() },
+            40,
+        );
+        let settings = settings();
+        let span_s = 3;
         for from in 15..30 {
             let capacity = |at: usize| {
-                let warm = (at as f64 - 14.5) / (rules.recovery_time.0 as f64 / 1e6);
-                50.0 * (rules.recovery_start_share + (1.0 - rules.recovery_start_share) * warm.min(1.0))
+                let recovered = (at as f64 - 14.5) / (settings.recovery_time.0 as f64 / 1e6);
+                50.0 * (settings.recovery_start_share
+                    + (1.0 - settings.recovery_start_share) * recovered.min(1.0))
             };
-            let sent: u32 = sums.by_second[from..from + span].iter().flatten().sum();
-            let most = rules.overload_multiple * (from..from + span).map(capacity).sum::<f64>();
-            assert!(f64::from(sent) < most, "from {from} s: {sent} of {most}: {:?}", sums.by_second);
+            let sent: u32 = counts.by_second[from..from + span_s].iter().flatten().sum();
+            let max = settings.overload_multiple * (from..from + span_s).map(capacity).sum::<f64>();
+            assert!(f64::from(sent) < max, "from {from} s: {sent} of {max}: {:?}", counts.by_second);
         }
-        let served = sums.by_second[30..39].iter().map(|one| one[0]).sum::<u32>();
-        assert!(served > 9 * 40 * 7 / 10, "warm again: {:?}", sums.by_second);
+        let served = counts.by_second[30..39].iter().map(|calls| calls[0]).sum::<u32>();
+        assert!(served > 9 * 40 * 7 / 10, "fully recovered: {:?}", counts.by_second);
     }
 }
 
-/// A number of senders that is wrong leaves a pace that is found from refusals and reports.
+/// With a wrong number of forwarders in the settings the send rate is found from rejected calls and reports.
 #[test]
-fn a_wrong_number_of_senders_costs_little() {
-    for told in [0, 1, 10, 5_000] {
-        let sums = play(&Scene { load: 42.0, told: Some(told), ..Scene::default() }, 30);
-        assert!(sums.delivered > 0.75 * sums.asked, "{told}: {sums:?}");
+fn fleet_with_a_wrong_number_of_forwarders_delivers_three_quarters_of_the_load() {
+    for configured in [0, 1, 10, 5_000] {
+        let counts = simulate(
+            &Scenario { load: 42.0, configured_forwarders: Some(configured), ..Scenario::default() },
+            30,
+        );
+        assert!(counts.delivered > 0.75 * counts.submitted, "{configured}: {counts:?}");
     }
 }
 
-/// Without reports, and with a wrong number of senders, a pace is found from refusals alone.
+/// Without reports the send rate is found from rejected calls alone.
 #[test]
-fn no_sender_starves_where_nothing_is_told() {
-    for senders in [2, 40] {
-        let scene = Scene { senders, load: 30.0, limit: 40.0, reports: false, ..Scene::default() };
-        let sums = play(&scene, 30);
-        assert!(sums.delivered > 0.8 * sums.asked, "{sums:?}");
-        let starved = sums.each.iter().filter(|(delivered, asked)| *delivered < 0.5 * asked).count();
-        assert!(starved * 10 <= senders as usize, "{starved} of {senders}");
+fn no_more_than_a_tenth_of_the_forwarders_starve_without_reports() {
+    for forwarders in [2, 40] {
+        let scenario =
+            Scenario { forwarders, load: 30.0, limit: 40.0, reports: false, ..Scenario::default() };
+        let counts = simulate(&scenario, 30);
+        assert!(counts.delivered > 0.8 * counts.submitted, "{counts:?}");
+        let starved =
+            counts.by_forwarder.iter().filter(|(delivered, submitted)| *delivered < 0.5 * submitted).count();
+        assert!(starved * 10 <= forwarders as usize, "{starved} of {forwarders}");
     }
 }
