--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,6 @@
-//! Scenarios against the real program; the language is described in `support/mod.rs`.
+//! Runs each script in `scenarios/` against the real program and compares the transcript with its snapshot.
+//! `support/mod.rs` describes the language of the scripts. Scripts and snapshots are found by the names of
+//! the tests.
 
 mod support;
 
