--- a/tests/tenancy.rs
+++ b/tests/tenancy.rs
@@ -32,7 +32,7 @@
     engine
 }
 
-fn submission(tenant: usize, destination: DestinationId, class: usize, id: &str) -> Input {
+fn tenant_submission(tenant: usize, destination: DestinationId, class: usize, id: &str) -> Input {
     let Input::Submission(template) = offer(id, class, 10) else { unreachable!() };
     Input::Submission(MessageSubmission { tenant, destination, time_left: ms(60_000), ..template })
 }
@@ -123,9 +123,9 @@
     let mut submitted = 0;
     for step in 0..600 {
         let mut submissions: Vec<Input> =
-            (0..5).map(|index| submission(0, HOME, UNSAFE, &format!("slow{step}-{index}"))).collect();
+            (0..5).map(|index| tenant_submission(0, HOME, UNSAFE, &format!("slow{step}-{index}"))).collect();
         if step >= 100 && step % 5 == 0 {
-            submissions.push(submission(1, OTHER, UNSAFE, &format!("fast{step}")));
+            submissions.push(tenant_submission(1, OTHER, UNSAFE, &format!("fast{step}")));
             submitted += 1;
         }
         simulation.step(submissions);
@@ -151,16 +151,16 @@
     let engine = start_engine(&folder, settings_with_tenants(vec![Isolation::default(); 2]));
     let mut simulation = Simulation::new(engine, 500, 500);
     for step in 0..100 {
-        simulation.step(vec![submission(0, HOME, UNSAFE, &format!("a{step}"))]);
+        simulation.step(vec![tenant_submission(0, HOME, UNSAFE, &format!("a{step}"))]);
     }
     assert_eq!(simulation.in_flight_at(HOME), 7);
     let resumed_at = simulation.now;
     let mut regained_after = None;
     for step in 0..100 {
         let submissions = vec![
-            submission(0, HOME, UNSAFE, &format!("b{step}")),
-            submission(1, OTHER, UNSAFE, &format!("c{step}")),
-            submission(1, OTHER, UNSAFE, &format!("d{step}")),
+            tenant_submission(0, HOME, UNSAFE, &format!("b{step}")),
+            tenant_submission(1, OTHER, UNSAFE, &format!("c{step}")),
+            tenant_submission(1, OTHER, UNSAFE, &format!("d{step}")),
         ];
         simulation.step(submissions);
         assert!(simulation.in_flight_at(HOME) + simulation.in_flight_at(OTHER) <= 8);
@@ -184,16 +184,16 @@
     };
     let engine = start_engine(&folder, with_ceiling(50));
     let mut simulation = Simulation::new(engine, 300, 10);
-    simulation.step((0..60).map(|index| submission(0, HOME, SAFE, &format!("m{index}"))).collect());
+    simulation.step((0..60).map(|index| tenant_submission(0, HOME, SAFE, &format!("m{index}"))).collect());
     assert_eq!((simulation.accepted, simulation.rejected), (50, 10));
     simulation.engine.configure(&core(with_ceiling(5)));
-    simulation.step(vec![submission(0, HOME, SAFE, "more")]);
+    simulation.step(vec![tenant_submission(0, HOME, SAFE, "more")]);
     assert_eq!((simulation.accepted, simulation.rejected), (50, 11));
     for _ in 0..600 {
         simulation.step(Vec::new());
     }
     assert_eq!(simulation.delivered[&HOME], 50, "each held message is delivered");
-    simulation.step(vec![submission(0, HOME, SAFE, "fits")]);
+    simulation.step(vec![tenant_submission(0, HOME, SAFE, "fits")]);
     assert_eq!(simulation.accepted, 51);
 }
 
@@ -205,7 +205,7 @@
         settings_with_tenants(vec![Isolation { arrivals, ..Isolation::default() }, Isolation::default()]);
     let mut engine = start_engine(&folder, settings);
     let mut submit = |at: u64, tenant: usize, id: &str| {
-        reply_in(&engine.step(ms(at), [submission(tenant, OTHER, SAFE, id)]))
+        reply_in(&engine.step(ms(at), [tenant_submission(tenant, OTHER, SAFE, id)]))
     };
     for index in 0..3 {
         assert_eq!(submit(2_000, 0, &format!("a{index}")), Some(Reply::Accepted));
@@ -227,7 +227,8 @@
         let submissions = (0..2).flat_map(|tenant| {
             // The first tenant submits three times as much, and gets no more slots for it.
             let count = [6, 2][tenant];
-            (0..count).map(move |index| submission(tenant, HOME, SAFE, &format!("t{tenant}-{step}-{index}")))
+            (0..count)
+                .map(move |index| tenant_submission(tenant, HOME, SAFE, &format!("t{tenant}-{step}-{index}")))
         });
         simulation.step(submissions.collect());
     }
@@ -248,7 +249,9 @@
     while simulation.now < until {
         let step = simulation.now;
         simulation.step(
-            (0..2).map(|tenant| submission(tenant, HOME, SAFE, &format!("w{tenant}-{step}"))).collect(),
+            (0..2)
+                .map(|tenant| tenant_submission(tenant, HOME, SAFE, &format!("w{tenant}-{step}")))
+                .collect(),
         );
         assert!(simulation.now >= until || simulation.in_flight.is_empty(), "a call within the retry-after");
     }
@@ -264,16 +267,16 @@
     );
     let mut simulation = Simulation::new(engine, 300, 300);
     for (tenant, destination, count) in [(0, HOME, 7), (1, OTHER, 1)] {
-        let submissions =
-            (0..count).map(|index| submission(tenant, destination, UNSAFE, &format!("{tenant}-{index}")));
+        let submissions = (0..count)
+            .map(|index| tenant_submission(tenant, destination, UNSAFE, &format!("{tenant}-{index}")));
         simulation.step(submissions.collect());
     }
     assert_eq!((simulation.accepted, simulation.rejected), (8, 0));
-    simulation.step(vec![submission(1, OTHER, UNSAFE, "own")]);
+    simulation.step(vec![tenant_submission(1, OTHER, UNSAFE, "own")]);
     assert_eq!((simulation.accepted, simulation.rejected), (8, 1));
     // The borrower submits before the owner does, but is held to its guarantee until the owner submits again.
     for step in 0..50 {
-        simulation.step(vec![submission(0, HOME, UNSAFE, &format!("again{step}"))]);
+        simulation.step(vec![tenant_submission(0, HOME, UNSAFE, &format!("again{step}"))]);
     }
     assert_eq!(simulation.delivered[&HOME], 7);
     assert_eq!(
@@ -281,7 +284,7 @@
         4,
         "the guarantee, and none of the other tenant's share"
     );
-    simulation.step(vec![submission(1, OTHER, UNSAFE, "own")]);
+    simulation.step(vec![tenant_submission(1, OTHER, UNSAFE, "own")]);
     assert_eq!(simulation.engine.tenant_status(1).0.accepted, 2);
 }
 
@@ -296,7 +299,9 @@
     engine.step(ms(1_000), [Input::EndpointRecords(ListScope::Whole, list)]);
     let (mut now, mut rejected) = (1_010, 0);
     let mut submit = |engine: &mut Engine, tenant: usize, destination, id: &str| {
-        let Input::Submission(template) = submission(tenant, destination, SAFE, id) else { unreachable!() };
+        let Input::Submission(template) = tenant_submission(tenant, destination, SAFE, id) else {
+            unreachable!()
+        };
         let message = MessageSubmission { front: 1, report_delivery: true, ..template };
         now += 10;
         let outputs = engine.step(ms(now), [Input::Submission(message)]);
@@ -363,7 +368,7 @@
                 let submissions = if busy { random.u32(0..=load) } else { 0 };
                 let destination = if tenant % 2 == 0 { HOME } else { OTHER };
                 inputs.extend((0..submissions).map(|index| {
-                    submission(tenant, destination, UNSAFE, &format!("{tenant}-{step}-{index}"))
+                    tenant_submission(tenant, destination, UNSAFE, &format!("{tenant}-{step}-{index}"))
                 }));
             }
             let mut started = Vec::new();
