--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -107,7 +107,10 @@
     client.write_all(both.as_bytes()).unwrap();
     let text = read_to_end(&mut client);
     assert!(text.starts_with("HTTP/1.1 202 ") && text.matches("HTTP/1.1").count() == 1, "{text:?}");
-    assert!(open_flows(&mut stage).contains("journal replayed: 1 flows open"), "the second is not accepted");
+    assert!(
+        open_flows(&mut stage).contains("journal replayed: 1 messages open"),
+        "the second is not accepted"
+    );
 }
 
 #[test]
@@ -123,7 +126,7 @@
     client.write_all(request("c3", "", "late").as_bytes()).expect("it is read and dropped");
     assert_eq!(client.read(&mut [0; 10]).expect("no reset"), 0);
     await_read(&stage);
-    assert!(open_flows(&mut stage).contains("journal replayed: 1 flows open"), "{}", stage.lines());
+    assert!(open_flows(&mut stage).contains("journal replayed: 1 messages open"), "{}", stage.lines());
 }
 
 #[test]
