--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program that know each other, with a stand-in network between them, one stand-in platform, and
-//! real endpoints that all share.
+//! A fleet of forwarder processes joined by membership, with a simulated network between them, one stand-in
+//! platform and endpoints that all of them share.
 
 use super::discovery::Discovery;
 use super::load::{self, Shared};
@@ -12,21 +12,21 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// What a fleet is started with.
+/// Parameters of a fleet.
 pub struct Plan {
     pub members: usize,
     pub seed: u64,
-    /// Which of them each is told as seeds.
+    /// Indices of the members that each member has as seeds.
     pub seeds: Vec<usize>,
-    /// The settings' number of forwarders.
+    /// Number of forwarders in the settings (`siblings`).
     pub siblings: usize,
     pub key: Option<&'static str>,
     pub probe_interval_ms: u32,
-    /// The platform's file knows a list.
+    /// Whether the platform's file contains an endpoint list.
     pub known: bool,
-    /// Which of them settle maintenance.
+    /// Indices of the members that vote on maintenance.
     pub voters: Vec<usize>,
-    /// What stands in the settings in place of what.
+    /// Replacements in the text of the settings: old text, new text.
     pub settings_replacements: Vec<(&'static str, String)>,
 }
 
@@ -47,30 +47,32 @@
     }
 }
 
+/// A running fleet; its processes are killed when it is dropped.
 pub struct Fleet {
     pub plan: Plan,
     pub folder: PathBuf,
     pub relay: Relay,
     pub ledger: Shared,
     pub discovery: Discovery,
-    /// The real sockets of the members.
+    /// UDP addresses that the members bind; peers reach them through the relay.
     pub bind_addresses: Vec<SocketAddr>,
     pub listen: Vec<SocketAddr>,
     pub ops: Vec<SocketAddr>,
     processes: Vec<Option<Process>>,
-    /// Members whose process has ended by itself since its start, as was noted.
+    /// Members whose process has exited without a kill since its start, as seen by `record_exits`.
     exited: BTreeSet<usize>,
     discovery_address: SocketAddr,
     endpoints: Vec<TcpListener>,
 }
 
 impl Fleet {
-    /// Prepares all, and starts none.
+    /// Prepares the fleet without starting a member.
     pub fn new(name: &str, plan: Plan) -> Fleet {
         let folder = std::env::temp_dir().join(format!("cedarwharf-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
-        // Discovery keeps its port while it is shut for a while; one that the system chose would be lost.
+        // Discovery keeps this port while its listener is shut down for a time. An ephemeral port could be
+        // reassigned meanwhile.
         let (platform, endpoints) =
             (TcpListener::bind(unused_address()).unwrap(), vec![bind(), bind(), bind()]);
         let ledger = Shared::default();
@@ -106,19 +108,19 @@
         }
     }
 
-    /// Prepares all and starts them together.
+    /// Prepares the fleet and starts all members at once.
     pub fn start_all(name: &str, plan: Plan) -> Fleet {
         let mut fleet = Fleet::new(name, plan);
         (0..fleet.plan.members).for_each(|member| fleet.start(member));
         fleet
     }
 
-    /// The listener of a real server, `s1` to `s3`, for a stand-in.
+    /// The listener of an endpoint, `s1` to `s3`, for a stand-in.
     pub fn endpoint_listener(&self, number: usize) -> TcpListener {
         self.endpoints[number - 1].try_clone().unwrap()
     }
 
-    /// The list: each server, and how the first one stands.
+    /// The endpoint list as JSON; `first_lifecycle` is the lifecycle of the first endpoint.
     pub fn endpoint_records(&self, first_lifecycle: &str) -> String {
         endpoint_records(&self.endpoints, first_lifecycle)
     }
@@ -140,7 +142,7 @@
             .replace("\"siblings\":2", &format!("\"siblings\":{}", self.plan.siblings))
     }
 
-    /// The operators' file of a member, but for its key.
+    /// The membership section of a member's operators' file, without the key.
     pub fn membership_section(&self, member: usize) -> String {
         let seeds: Vec<String> =
             self.plan.seeds.iter().map(|&seed| format!("\"{}\"", self.relay.address(seed))).collect();
@@ -157,7 +159,7 @@
         )
     }
 
-    /// The members' key, as a line of the section.
+    /// The line of the membership section that names the key file.
     pub fn key_line(&self) -> String {
         format!("  key: {{file: \"{}\"}}\n", self.folder.join("key").display())
     }
@@ -174,14 +176,15 @@
         self.start_as(member, &file);
     }
 
-    /// Starts a member with an operators' file of its own; one that runs is left beside it, and given back.
+    /// Starts a member with the given operators' file. A process of this member that already runs is left
+    /// running and returned.
     pub fn start_as(&mut self, member: usize, file: &str) -> Option<Process> {
         let folder = self.member_folder(member);
         std::fs::create_dir_all(folder.join("state")).unwrap();
         std::fs::write(folder.join("config.json"), self.config(member)).unwrap();
         std::fs::write(folder.join("file.yaml"), file).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_cedarwharf"));
-        // The file counts, whatever version an earlier start kept.
+        // The file takes precedence over a version that an earlier start has stored.
         command.arg("run").arg("--from-file").arg(folder.join("file.yaml"));
         command.env("PROXY_CONFIG", folder.join("config.json"));
         command.env("PROXY_STATE", folder.join("state"));
@@ -197,17 +200,18 @@
         std::fs::read_to_string(self.member_folder(member).join("lines")).unwrap_or_default()
     }
 
-    /// A signal, by its flag of `kill`: SIGSTOP and SIGCONT stall a member, SIGHUP has it read its file again.
+    /// Sends a signal, given as an option of `kill`: SIGSTOP and SIGCONT stall and resume a member, SIGHUP
+    /// makes it reload its file.
     pub fn signal(&self, member: usize, signal: &str) {
         self.processes[member].as_ref().unwrap().signal(signal);
     }
 
-    /// The process of a member that runs.
+    /// The process of a running member.
     pub fn process(&mut self, member: usize) -> &mut Process {
         self.processes[member].as_mut().unwrap()
     }
 
-    /// SIGKILL; does nothing to a process that has ended.
+    /// Kills a member with SIGKILL; a process that has exited is only removed.
     pub fn kill(&mut self, member: usize) {
         let Some(mut process) = self.processes[member].take() else { return };
         if process.try_wait().is_ok_and(|status| status.is_none()) {
@@ -215,7 +219,7 @@
         }
     }
 
-    /// Notes which processes have ended since by themselves: calls that are out then may have run.
+    /// Records which processes have exited by themselves: their calls in flight may have taken effect.
     pub fn record_exits(&mut self) {
         for (member, process) in self.processes.iter_mut().enumerate() {
             let Some(process) = process else { continue };
@@ -226,7 +230,7 @@
         }
     }
 
-    /// SIGTERM, and the end of the process.
+    /// Sends SIGTERM and waits for a successful exit.
     pub fn terminate(&mut self, member: usize) {
         self.signal(member, "-TERM");
         assert_eq!(self.processes[member].take().unwrap().wait().unwrap().code(), Some(0));
@@ -236,20 +240,21 @@
         self.processes[member].is_some()
     }
 
-    /// What `/ops/members` or `/ops/stats` of a member says; null where it does not answer.
+    /// The JSON body of a GET at a member's operators' address, such as `/ops/members` or `/ops/stats`; null
+    /// if the member does not answer with status 200.
     pub fn get_json(&self, member: usize, path: &str) -> Value {
         let response =
             load::ask(self.ops[member], "GET", path, "", "").ok().filter(|response| response.0 == 200);
         response.and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or(Value::Null)
     }
 
-    /// A figure of the membership.
+    /// A number from the membership section of `/ops/stats`, by its dotted path; NaN if it is missing.
     pub fn membership_stat(&self, member: usize, name: &str) -> f64 {
         let stats = self.get_json(member, "/ops/stats");
         name.split('.').fold(&stats["membership"], |value, key| &value[key]).as_f64().unwrap_or(f64::NAN)
     }
 
-    /// What one member holds another to be: state, generation, incarnation.
+    /// A member's state, generation and incarnation in the view of `observer`.
     pub fn member_state(&self, observer: usize, member: usize) -> Option<(String, u64, u64)> {
         let view = self.get_json(observer, "/ops/members");
         let name = format!("f{member}");
@@ -261,7 +266,7 @@
         ))
     }
 
-    /// Whether all of `among` count all of them alive and nobody else live.
+    /// Whether each of `members` counts exactly as many members alive as are given, and none suspect.
     pub fn agree(&self, members: &[usize]) -> bool {
         members.iter().all(|&member| {
             let view = self.get_json(member, "/ops/members");
@@ -273,7 +278,7 @@
         (0..self.plan.members).collect()
     }
 
-    /// Waits until something holds; how long it took.
+    /// Waits until a condition holds and returns the time that took.
     pub fn until(
         &self,
         what: &str,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,15 +1,32 @@
-//! Plays scenarios against the real program on loopback sockets, and writes down what was seen.
+//! Plays scenarios against the real program on loopback sockets and records a transcript.
 //!
-//! A scenario is lines of `WHO VERB REST`. WHO is `node` (the program), `reports` and `discovery` (the platform),
-//! `s1`, `s2`, `s3` (real servers of destinations 1, 2 and 3), or any other name: a client. VERB is `send`, `expect`,
-//! `close` or `wait`; `node` also takes `start`, `kill`, `upgrade` (another is started beside it, and follows), `term`, `reload` (SIGHUP), `damage` (of its journal) and
-//! `config` (a file in place of the last: `moved` has the platform at another address, where it is `reports2` and
-//! `discovery2`; `home` has it back; `broken` cannot be read). Names that begin with `pub` are publishers over AMQP, and `broker` is
-//! the broker of destination 4; what they say is described in `amqp.rs`. Names that begin with `admin` `send ask TOKEN
-//! METHOD PATH` to the administration API or `send change TOKEN VERB VERSION FILE` of the configuration, and `wait` for a text in what it answers, and `resolver` answers DNS questions, see [`Stage::resolve`].
-//! Names that begin with `ops` are operators' staff, each with one call: `send call METHOD PATH`.
-//! A client may `flood` the same message many times and `expect fewer than` so many answers before the end; `crowd`
-//! is many connections that say nothing, or each `asks` once and stays; it expects all of them to `end`, or the first `half` soon. What is received goes into the transcript.
+//! A scenario is a list of lines `WHO VERB REST`. WHO is one of these parties:
+//! - `node`: the forwarder under test;
+//! - `reports` and `discovery`: the platform's endpoints for delivery reports and for the endpoint list;
+//! - `s1`, `s2`, `s3`: endpoints of destinations 1, 2 and 3;
+//! - `broker`: the AMQP broker of destination 4; names that begin with `pub` are AMQP publishers. Their texts
+//!   are described in `amqp.rs`;
+//! - names that begin with `admin`: clients of the administration API. They `send ask TOKEN METHOD PATH` or
+//!   `send change TOKEN VERB VERSION FILE`, a change of the configuration, and `wait` until a response
+//!   contains a text;
+//! - `resolver`: a DNS server, see [`Stage::resolve`];
+//! - names that begin with `ops`: operators, each with one call, `send call METHOD PATH`;
+//! - `crowd`: many connections. They send nothing, or with `asks` send one request each and stay open.
+//!   `expect` waits until all of them have ended, or with `half` until the first half has ended within a
+//!   short time;
+//! - any other name: a client.
+//!
+//! VERB is `send`, `expect`, `close` or `wait`. `node` also takes these verbs:
+//! - `start` and `kill`;
+//! - `upgrade`: starts a second process, which takes over from the first;
+//! - `term` (SIGTERM) and `reload` (SIGHUP);
+//! - `damage`: appends bytes to the journal;
+//! - `config`: replaces the platform's file. With `moved` the platform has another address, where its parties
+//!   are `reports2` and `discovery2`; `home` restores the first address; `broken` is a file that cannot be
+//!   parsed.
+//!
+//! A client may `flood` the same message many times and `expect fewer than` a number of responses before the
+//! connection ends. Everything that a party receives is written to the transcript.
 
 #![allow(dead_code)]
 
@@ -30,9 +47,10 @@
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
+/// How long a test waits for an expected event before it fails.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A process that does not outlive its test, however that ends.
+/// A child process that is killed when dropped, so that it does not outlive its test.
 pub struct Process(Child);
 
 impl std::ops::Deref for Process {
@@ -50,7 +68,7 @@
 }
 
 impl Process {
-    /// Sends a signal, by its flag of `kill`.
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let id = self.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
@@ -64,6 +82,7 @@
     }
 }
 
+/// One forwarder and the listeners and connections of the parties that a scenario plays.
 pub struct Stage {
     process: Option<Process>,
     pub folder: PathBuf,
@@ -72,24 +91,25 @@
     connections: BTreeMap<String, (TcpStream, Vec<u8>)>,
     amqp_peers: BTreeMap<String, AmqpPeer>,
     crowd: Vec<TcpStream>,
-    /// Where publishers connect.
+    /// The forwarder's AMQP listener.
     pub amqp: SocketAddr,
     pub admin: SocketAddr,
-    /// Where operators' staff call.
+    /// The forwarder's address for operators' calls.
     pub ops: SocketAddr,
     transcript: String,
 }
 
-/// Ports for listeners of processes under test: below the system's own range, from which connections get theirs.
+/// First port for listeners of processes under test. The range lies below the system's ephemeral ports, which
+/// outgoing connections use.
 const FIRST_PORT: u32 = 12_000;
 const PORT_COUNT: u32 = 18_000;
-/// Where tests run in processes of their own beside each other, each of so many has a part of the ports.
+/// Number of port ranges when cargo-nextest runs each test in its own process: one range per concurrent test.
 const NEXTEST_SLOTS: u32 = 9;
 
-/// An address that nobody listens on, and that no connection of another test is given.
+/// Returns an address without a listener that no connection of another test is assigned.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    // cargo-nextest tells the slot that a test has alone while it runs.
+    // cargo-nextest assigns each running test a slot that no other running test has.
     let slot = std::env::var("NEXTEST_TEST_GLOBAL_SLOT").ok().and_then(|slot| slot.parse::<u32>().ok());
     loop {
         let next = NEXT.fetch_add(1, SeqCst);
@@ -106,7 +126,7 @@
     }
 }
 
-/// Plays a scenario and returns the transcript.
+/// Plays a scenario and returns its transcript.
 pub fn play(name: &str, scenario: &str) -> String {
     let mut stage = Stage::new(name);
     for line in scenario.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#')) {
@@ -145,7 +165,7 @@
         stage
     }
 
-    /// An operators' file with the addresses of this stage.
+    /// Replaces the placeholders in an operators' file with the addresses of this stage.
     pub fn fill_addresses(&self, text: &str) -> String {
         let text = text.replace("AMQP", &self.amqp.to_string());
         let text = text.replace("BROKER", &self.address_of("broker").to_string());
@@ -153,7 +173,7 @@
         text.replace("ADMIN", &self.admin.to_string())
     }
 
-    /// Puts an operators' file in the place of the last one.
+    /// Replaces the operators' file.
     pub fn write_operators_file(&self, text: &str) {
         std::fs::write(self.folder.join("fronts.json"), self.fill_addresses(text)).unwrap();
     }
@@ -162,7 +182,7 @@
         self.listeners[name].local_addr().unwrap()
     }
 
-    /// Puts a configuration in the place of the last one.
+    /// Replaces the platform's file atomically.
     fn write_config(&self, text: &str) {
         let next = self.folder.join("config.new");
         std::fs::write(&next, text).unwrap();
@@ -204,7 +224,7 @@
                 "broken" => "{".to_owned(),
                 "moved" => self.config("platform2"),
                 "home" => self.config("platform"),
-                _ => panic!("what is the configuration {rest}?"),
+                _ => panic!("unknown configuration {rest}"),
             }),
             ("node", "expect") => {
                 let status = self.process.take().unwrap().wait().unwrap();
@@ -224,7 +244,7 @@
                 }
             }
             ("crowd", "expect") => {
-                // Half of them soon, long before an unused connection's time is up.
+                // The first half ends soon, long before the time-out of unused connections.
                 let (count, timeout) = match rest {
                     "half" => (self.crowd.len() / 2, Duration::from_secs(2)),
                     _ => (self.crowd.len(), PATIENCE),
@@ -270,11 +290,11 @@
                 self.transcript.push_str(&message);
             }
             (_, "send") => self.send(who, rest),
-            _ => panic!("what is {who} {verb}?"),
+            _ => panic!("unknown step: {who} {verb}"),
         }
     }
 
-    /// A listener, for a stand-in that runs on its own.
+    /// Returns a party's listener, for a stand-in that runs on its own thread.
     pub fn listener(&self, name: &str) -> TcpListener {
         self.listeners[name].try_clone().unwrap()
     }
@@ -283,22 +303,23 @@
         self.start_with(&[]);
     }
 
-    /// Starts the node with more in its environment.
+    /// Starts the forwarder with additional environment variables and waits until it listens.
     pub fn start_with(&mut self, environment: &[(&str, &str)]) {
         self.spawn(environment);
         let begun = Instant::now();
         while TcpStream::connect(self.listen).is_err() {
-            assert!(begun.elapsed() < PATIENCE, "the node does not listen");
+            assert!(begun.elapsed() < PATIENCE, "the forwarder does not listen");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Starts the node where it is not to serve yet.
+    /// Starts the forwarder without waiting for it to listen: for tests in which it does not serve yet.
     pub fn start_without_waiting(&mut self) {
         self.spawn(&[]);
     }
 
-    /// The same beside the one that runs, which is given back; staff call the new one elsewhere.
+    /// Starts a successor beside the running process, which is returned. The successor has a new address for
+    /// operators' calls.
     pub fn start_successor(&mut self, environment: &[(&str, &str)]) -> Process {
         let predecessor = self.process.take().unwrap();
         self.ops = unused_address();
@@ -306,7 +327,8 @@
         predecessor
     }
 
-    /// An upgrade as staff do it: once the new one says yes, the old one is told to stop, and leaves. How long the yes took.
+    /// Upgrades as operators do: once the successor is ready, the predecessor gets SIGTERM and exits. Returns
+    /// the time until the successor was ready.
     pub fn upgrade(&mut self) -> Duration {
         let begun = Instant::now();
         let mut predecessor = self.start_successor(&[]);
@@ -321,25 +343,26 @@
         time_to_ready
     }
 
-    /// Waits until the node's readiness is a yes.
+    /// Waits until the forwarder reports that it is ready.
     pub fn wait_until_ready(&self) {
         let begun = Instant::now();
         while !self.is_ready() {
-            assert!(begun.elapsed() < PATIENCE, "the node does not become ready: {}", self.log());
+            assert!(begun.elapsed() < PATIENCE, "the forwarder does not become ready: {}", self.log());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
+    /// Whether `/ops/readiness` answers with status 200.
     pub fn is_ready(&self) -> bool {
         load::ask(self.ops, "GET", "/ops/readiness", "", "").is_ok_and(|(status, _)| status == 200)
     }
 
-    /// The process that runs.
+    /// The running forwarder process.
     pub fn process(&mut self) -> &mut Child {
         self.process.as_mut().unwrap()
     }
 
-    /// Another process is the node from now on.
+    /// Makes another process the forwarder under test and returns the former one.
     pub fn replace(&mut self, process: Process) -> Option<Process> {
         self.process.replace(process)
     }
@@ -356,12 +379,12 @@
         self.process = Some(Process(command.stderr(log.unwrap()).spawn().unwrap()));
     }
 
-    /// What the node has written for those on call.
+    /// The forwarder's log output so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("lines")).unwrap_or_default()
     }
 
-    /// Waits for the end of the node, which ended by itself.
+    /// Waits for the exit of a forwarder that ends without a signal.
     pub fn wait_for_exit(&mut self) {
         self.process.take().unwrap().wait().unwrap();
     }
@@ -378,7 +401,7 @@
         self.amqp_peers.clear();
     }
 
-    /// The AMQP connection of a party.
+    /// The AMQP connection of a party, opened or accepted on first use.
     fn amqp_peer(&mut self, who: &str) -> &mut AmqpPeer {
         if !self.amqp_peers.contains_key(who) {
             let peer = match who {
@@ -390,7 +413,7 @@
         self.amqp_peers.get_mut(who).unwrap()
     }
 
-    /// Asks the administration until the answer holds a text: `TOKEN PATH TEXT`.
+    /// Polls the administration API until a response contains a text: `TOKEN PATH TEXT`.
     fn wait_until(&mut self, who: &str, rest: &str) {
         let words: Vec<&str> = rest.split(' ').collect();
         let begun = Instant::now();
@@ -404,8 +427,8 @@
         }
     }
 
-    /// Accepts a lookup and answers its questions, as many as it asks: with `SERVER CELL TTL`, an instance named
-    /// so that is one of the real servers, or with `error`.
+    /// Accepts one DNS lookup and answers all its questions: with `SERVER CELL TTL`, an instance that is the
+    /// endpoint of that name, or with `error`.
     fn resolve(&mut self, rest: &str) {
         let (mut stream, _) = self.listeners["resolver"].accept().unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -442,7 +465,7 @@
                     }
                     _ => data.extend([127, 0, 0, 1]),
                 }
-                // The owner is the name that was asked for.
+                // The record's owner is a compression pointer to the name in the question.
                 answer.extend([0xC0, 12, 0, if record_type == 28 { 1 } else { record_type }, 0, 1]);
                 answer.extend(ttl.parse::<u32>().unwrap().to_be_bytes());
                 answer.extend((data.len() as u16).to_be_bytes());
@@ -453,7 +476,7 @@
         }
     }
 
-    /// The connection of a party: a client's is opened, any other is accepted.
+    /// The connection of a party on first use: opened for clients, accepted for all others.
     fn connection(&mut self, who: &str) -> &mut (TcpStream, Vec<u8>) {
         if !self.connections.contains_key(who) {
             let stream = match who {
@@ -472,8 +495,9 @@
         self.connections.get_mut(who).unwrap()
     }
 
-    /// Discovery and notices share an address: what is asked first tells which connection is which. One that ends before it
-    /// asks is of a process that was killed with its connection just up, and nobody's.
+    /// Accepts connections at the platform's address, which discovery and delivery reports share; the first
+    /// byte of the request tells them apart. A connection that ends before its first byte comes from a
+    /// process that was killed right after connecting, and is dropped.
     fn platform_connection(&mut self, listener: &str, who: &str) -> &mut (TcpStream, Vec<u8>) {
         let number = listener.trim_start_matches("platform");
         while !self.connections.contains_key(who) {
@@ -523,12 +547,12 @@
             }
             (other, _) => panic!("cannot send {other}"),
         };
-        // Who is cut off while it floods finds out when it reads.
+        // A client whose connection is closed while it floods finds out at its next read.
         let written = self.connection(who).0.write_all(bytes.as_bytes());
         assert!(written.is_ok() || rest.starts_with("flood"), "{who}: {written:?}\n{}", self.transcript);
     }
 
-    /// One HTTP message, with what differs from run to run masked.
+    /// Receives one HTTP message and masks the values that differ from run to run.
     fn receive(&mut self, who: &str) -> String {
         let transcript = self.transcript.clone();
         let (stream, buffer) = self.connection(who);
@@ -566,24 +590,24 @@
 impl Drop for Stage {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("the last lines of the node:\n{}", last_lines(&self.log()));
+            eprintln!("the last lines of the forwarder's log:\n{}", last_lines(&self.log()));
         }
         drop(self.process.take());
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// The end of a log, as much as a reader of a failed test wants to see.
+/// The last lines of a log, for the output of a failed test.
 fn last_lines(log: &str) -> String {
     const SHOWN: usize = 200;
     let lines: Vec<&str> = log.lines().collect();
     lines[lines.len().saturating_sub(SHOWN)..].join("\n")
 }
 
-/// `ID CLASS DEST SECONDS BODY [KEY]` as a client's request.
+/// Builds a client's request from `ID CLASS DEST SECONDS BODY [KEY]`.
 fn message_request(fields: &str) -> String {
     let fields: Vec<&str> = fields.split(' ').collect();
-    let [id, class, dest, seconds, body] = fields[..5] else { panic!("a message has five fields") };
+    let [id, class, dest, seconds, body] = fields[..5] else { panic!("a message has five fields or six") };
     let key = fields.get(5).map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
     format!(
         "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\nTenant: acme\r\n\
@@ -592,10 +616,11 @@
     )
 }
 
+/// Formats an HTTP message for the transcript and masks the values that differ from run to run.
 fn masked_message(head: &str, body: &str) -> String {
     let mut out = String::new();
     let length_varies = body.contains("\"address\"") || body.contains("_ms\"");
-    // What a version says of itself differs from run to run.
+    // The details of a configuration version differ from run to run.
     let body = if body.contains("\"digest\"") { "(a version)\n" } else { body };
     for line in head.lines() {
         let name = line.split(": ").next().unwrap();
@@ -614,7 +639,7 @@
     out
 }
 
-/// Replaces what stands between `start` and the next `end`.
+/// Replaces the text between each `start` and the next `end` with `...`.
 fn mask(text: &str, start: &str, end: char) -> String {
     let mut parts = text.split(start);
     let mut out = parts.next().unwrap().to_owned();
