--- a/tests/support/amqp.rs
+++ b/tests/support/amqp.rs
@@ -1,25 +1,28 @@
-//! AMQP for scenarios and for the stand-in broker: one side of a connection, its frames as short texts.
+//! AMQP for scenarios and for the stand-in broker: one side of a connection, whose frames are written as
+//! short texts.
 //!
-//! Said: `open USER PASSWORD VHOST`, `publish ID CLASS DEST MS QUEUE BODY`, `declare QUEUE`, `consume QUEUE`,
-//! `ack TAG`, `nack TAG`, `close-channel CODE`, `return ID`. All of it goes on channel 1 unless `CHANNEL:` stands before.
+//! Texts to send: `open USER PASSWORD VHOST`, `publish ID CLASS DEST MS QUEUE BODY`, `declare QUEUE`,
+//! `consume QUEUE`, `ack TAG`, `nack TAG`, `close-channel CODE`, `return ID`, `ok channel`, `ok confirms`,
+//! and `raw TEXT` for plain bytes. Frames are sent on channel 1, or on another with the prefix `CHANNEL:`.
 
 use cedarwharf::net::amqp::{self, method, Args, Content, Frame, Method, Properties, PutArgument, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// One side of an AMQP connection.
 pub struct AmqpPeer {
     stream: TcpStream,
     input: Vec<u8>,
 }
 
 impl AmqpPeer {
-    /// A client's side, nothing said yet.
+    /// Connects as a client, without sending anything.
     pub fn connect(address: SocketAddr) -> AmqpPeer {
         AmqpPeer::new(TcpStream::connect(address).unwrap())
     }
 
-    /// A broker's side, as far as the open connection.
+    /// Accepts as a broker and completes the handshake up to `connection.open-ok`.
     pub fn accept(stream: TcpStream) -> AmqpPeer {
         let mut peer = AmqpPeer::new(stream);
         peer.stream.read_exact(&mut [0; 8]).unwrap();
@@ -41,19 +44,20 @@
         AmqpPeer { stream, input: Vec::new() }
     }
 
-    /// How long [`AmqpPeer::frame`] waits.
+    /// Sets the time that [`AmqpPeer::frame`] waits.
     pub fn set_read_timeout(&self, timeout: Duration) {
         self.stream.set_read_timeout(Some(timeout)).unwrap();
     }
 
-    /// Writes a method; a connection that is gone shows at the next read.
+    /// Writes a method. Write errors are ignored: a closed connection shows at the next read.
     pub fn method(&mut self, channel: u16, name: Method, args: &[u8]) {
         let mut out = Vec::new();
         amqp::write_method(&mut out, channel, name, args);
         let _ = self.stream.write_all(&out);
     }
 
-    /// The next frame; `None` after the patience, an error when the connection is over.
+    /// Reads the next frame other than a heartbeat; `None` after the time-out, an error if the connection has
+    /// ended.
     pub fn frame(&mut self) -> Result<Option<Frame>, ()> {
         loop {
             match amqp::read_frame(&self.input, amqp::FRAME_MAX) {
@@ -81,7 +85,7 @@
 
     fn wait_for(&mut self, expected: Method) -> Vec<u8> {
         loop {
-            match self.frame().expect("connection ended").expect("nothing came").content {
+            match self.frame().expect("connection ended").expect("no frame arrives").content {
                 Content::Method(name, args) if name == expected => return args,
                 Content::Method(method::CLOSE, args) => panic!("closed: {:?}", Args(&args).short()),
                 _ => {}
@@ -89,6 +93,7 @@
         }
     }
 
+    /// Opens a connection and channel 1 with publisher confirms, without waiting for the replies.
     pub fn open(&mut self, user: &str, password: &str, vhost: &str) {
         self.stream.write_all(amqp::PROTOCOL).unwrap();
         let mut args = Vec::new();
@@ -106,6 +111,7 @@
         self.method(1, method::CONFIRM_SELECT, &[0]);
     }
 
+    /// Publishes a message on channel 1; `-` omits a property.
     pub fn publish(&mut self, id: &str, class: &str, dest: &str, ms: &str, queue: &str, body: &str) {
         let mut args = vec![0, 0];
         args.put_short_string(b"");
@@ -129,6 +135,7 @@
         let _ = self.stream.write_all(&out);
     }
 
+    /// Sends a frame given as a text, see the module.
     pub fn send_text(&mut self, text: &str) {
         let (channel, text) = match text.split_once(':') {
             Some((channel, rest)) if channel.parse::<u16>().is_ok() => (channel.parse().unwrap(), rest),
@@ -181,15 +188,15 @@
             }
             ["ok", "channel"] => self.method(channel, method::CHANNEL_OPEN_OK, &[0, 0, 0, 0]),
             ["ok", "confirms"] => self.method(channel, method::CONFIRM_SELECT_OK, &[]),
-            _ => panic!("cannot say {text}"),
+            _ => panic!("cannot send {text}"),
         }
     }
 
-    /// The next method, with the content that belongs to it.
+    /// Receives the next method with its content and returns it as a text.
     pub fn receive_text(&mut self) -> String {
         loop {
             let Ok(frame) = self.frame() else { return "the connection ended".into() };
-            let Frame { channel, content } = frame.expect("nothing came");
+            let Frame { channel, content } = frame.expect("no frame arrives");
             let Content::Method(name, bytes) = content else { panic!("{content:?}") };
             let mut args = Args(&bytes);
             let text = match name {
@@ -234,7 +241,7 @@
             .iter()
             .map(|(key, value)| match value {
                 Value::Text(text) => format!("{key}={}", String::from_utf8_lossy(text)),
-                // Advice differs from run to run.
+                // The time of the advised resubmission differs from run to run.
                 other => {
                     format!("{key}={}", if key == "again_ms" { "...".into() } else { format!("{other:?}") })
                 }
@@ -244,7 +251,7 @@
         format!("{head} {id} {kind} [{headers}] {}", String::from_utf8_lossy(&body))
     }
 
-    /// Header and body after a method that has a content.
+    /// Reads the content header and the body that follow a method with content.
     pub fn rest_of_content(&mut self) -> (Properties, Vec<u8>) {
         let Ok(Some(Frame { content: Content::Header(size, properties), .. })) = self.frame() else {
             panic!("no content header")
--- a/tests/support/broker.rs
+++ b/tests/support/broker.rs
@@ -1,5 +1,5 @@
-//! A stand-in broker that misbehaves at random: it drops confirms, confirms late, closes channels and connections
-//! after taking a message, nacks and returns. It counts the effects of each message.
+//! A stand-in broker with random faults: it omits confirms, confirms late, closes channels and connections
+//! after a message took effect, nacks and returns messages. It counts the effects of each message.
 
 use super::amqp::AmqpPeer;
 use cedarwharf::net::amqp::{method, Content, Frame, PutArgument};
@@ -8,19 +8,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What happened to messages, by id.
+/// Effects of messages, by id, and how often each response was given.
 #[derive(Default)]
 pub struct Ledger {
     pub effects: BTreeMap<String, u32>,
     pub responses: BTreeMap<&'static str, u32>,
 }
 
-/// Serves connections until the process ends; without a seed, it confirms everything at once.
+/// Serves connections until the process exits; without a seed, every message is confirmed at once.
 pub fn serve(listener: TcpListener, seed: Option<u64>, ledger: Arc<Mutex<Ledger>>) {
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().enumerate() {
             let (ledger, seed) = (ledger.clone(), seed.map(|seed| seed + number as u64));
-            // A connection that ends within its handshake ends its thread.
+            // A connection that ends during its handshake panics only its own thread.
             std::thread::spawn(move || serve_connection(AmqpPeer::accept(stream.unwrap()), seed, &ledger));
         }
     });
--- a/tests/support/byhand.rs
+++ b/tests/support/byhand.rs
@@ -1,5 +1,5 @@
-//! Connections that a test holds itself, byte by byte: those of clients, and those that it accepts as a real server or as
-//! discovery.
+//! Connections that a test reads and writes itself: those of clients, and those that it accepts as an
+//! endpoint or as discovery.
 
 use super::{load, Stage, PATIENCE};
 use rustix::net::sockopt::set_socket_linger;
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Waits until something holds; how long is the test's patience alone.
+/// Waits until a condition holds; fails after [`PATIENCE`].
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !condition() {
@@ -16,6 +16,7 @@
     }
 }
 
+/// Makes a stream blocking, with time-outs for reads and writes.
 fn with_timeouts(stream: TcpStream) -> TcpStream {
     stream.set_nonblocking(false).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -24,28 +25,28 @@
     stream
 }
 
-/// A client's connection.
+/// Opens a client connection.
 pub fn connect(stage: &Stage) -> TcpStream {
     with_timeouts(TcpStream::connect(stage.listen).unwrap())
 }
 
-/// A connection that waits at a listener already, if any does.
+/// Accepts a connection that is already pending at a listener, if any.
 pub fn try_accept(listener: &TcpListener) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
     listener.accept().ok().map(|(stream, _)| with_timeouts(stream))
 }
 
-/// The next connection.
+/// Waits for the next connection and accepts it.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     let mut found = None;
-    until("nobody connects", || {
+    until("no connection arrives", || {
         found = try_accept(listener);
         found.is_some()
     });
     found.unwrap()
 }
 
-/// What comes up to the end of a head, or of the connection.
+/// Reads up to the end of a message head, or of the connection.
 pub fn read_head(stream: &mut TcpStream) -> String {
     let (mut text, mut byte) = (Vec::new(), [0]);
     while !text.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|count| count == 1) {
@@ -54,7 +55,7 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// One whole request or answer: its head, and its body read away.
+/// Reads one whole request or response and returns its head; the body is discarded.
 pub fn message(stream: &mut TcpStream) -> String {
     let head = read_head(stream);
     let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
@@ -63,14 +64,14 @@
     head
 }
 
-/// All that comes until the other side's end; a reset is a failure.
+/// Reads until the peer closes the connection; a reset fails the test.
 pub fn read_to_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).expect("an end, not a reset");
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A message as a client's request.
+/// Builds a client's request with a message.
 pub fn request(id: &str, class: &str, dest: u32, seconds: f64, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\nTenant: acme\r\n\
@@ -79,19 +80,19 @@
     )
 }
 
-/// An answer without a body.
+/// Writes a response without a body.
 pub fn answer(stream: &mut TcpStream, status: &str) {
     stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes()).unwrap();
 }
 
-/// Discovery's answer: changes of the list.
+/// Writes discovery's response with changes of the list.
 pub fn answer_list(stream: &mut TcpStream, generation: u64, instances: &str) {
     let list = format!(r#"{{"generation":{generation},"reset":false,"instances":[{instances}]}}"#);
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
     stream.write_all(answer.as_bytes()).unwrap();
 }
 
-/// The next connection, with the call that comes on it.
+/// Accepts the next connection and reads the call on it; returns the call's head.
 pub fn accept_call(listener: &TcpListener) -> (TcpStream, String) {
     let mut stream = accept(listener);
     let call = message(&mut stream);
@@ -103,41 +104,42 @@
     set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
 }
 
-/// Hands a message in on a new connection; the status.
+/// Submits a message on a new connection and returns the status.
 pub fn submit(stage: &Stage, request: &str) -> u16 {
     let mut stream = connect(stage);
     stream.write_all(request.as_bytes()).unwrap();
     status(&message(&mut stream))
 }
 
-/// The status of an answer.
+/// The status in the head of a response; 0 if there is none.
 pub fn status(head: &str) -> u16 {
     head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
-/// All that was sent to the process before has been read by it: what one connection sends later is read later.
+/// Waits until the forwarder has read all input sent before, with a request on a new connection: input that
+/// is sent later is read later.
 pub fn wait_until_input_read(stage: &Stage) -> String {
     let mut stream = connect(stage);
     stream.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
     message(&mut stream)
 }
 
-/// A flow as the administration shows it; null where it is not open, and owes no end.
+/// A message as the administration API lists it; null if it is not open and has no outcome left to report.
 pub fn open_message(stage: &Stage, id: &str) -> serde_json::Value {
     let (_, body) = load::ask(stage.admin, "GET", "/v1/flows", "", "").unwrap();
     let flows: Vec<serde_json::Value> = serde_json::from_str(&body).unwrap();
     flows.into_iter().find(|flow| flow["id"] == id).unwrap_or_default()
 }
 
-/// A listener at which a connection comes up late. Its queue is full, so the system drops what asks beyond; the other side's
-/// system asks again a second later, and comes up then if there is room by then.
+/// A listener whose accept queue is full, so that connections are established late. The kernel drops further
+/// SYNs; the peer's kernel retransmits its SYN a second later and then connects if the queue has room.
 pub struct LateListener {
     listener: TcpListener,
     _filler: TcpStream,
 }
 
 impl LateListener {
-    /// From now on nobody comes up.
+    /// Fills the accept queue: no further connection is established.
     pub fn new(listener: TcpListener) -> LateListener {
         rustix::net::listen(&listener, 0).unwrap();
         let address = listener.local_addr().unwrap();
@@ -148,7 +150,7 @@
         LateListener { listener, _filler: filler }
     }
 
-    /// Whoever asks from now on comes up.
+    /// Enlarges and empties the queue, so that the next connection attempts succeed.
     pub fn open(self) -> TcpListener {
         rustix::net::listen(&self.listener, 128).unwrap();
         drop(accept(&self.listener));
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery that answers as it is told: in time, slowly, never, with refusals, in part, or with an older list.
-//! It counts every call for the list.
+//! A stand-in for discovery that answers as a test sets it: in time, slowly, never, with rejections, in part,
+//! or with an older list. It counts every call for the list.
 
 use super::load::{message, Shared};
 use std::io::{BufReader, Write};
@@ -8,20 +8,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// How the stand-in answers calls for the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
+    /// Calls are answered at once; a watch is answered when the list changes or its hold time ends.
     Live,
-    /// Each answer takes so long.
+    /// Each answer is delayed by this time.
     Slow(Duration),
     /// Calls are read and never answered.
     Silent,
-    /// Nobody listens: connections are refused. These calls are not counted.
+    /// The listener is shut down and connections are refused. These calls are not counted.
     Refusing,
-    /// Connections are closed before they are read.
+    /// Connections are closed before a request is read.
     Closing,
-    /// Half of each answer, and a close.
+    /// Half of each answer is sent, then the connection is closed.
     Partial,
-    /// 503 to each call.
+    /// Each call is answered with status 503.
     Busy,
 }
 
@@ -32,18 +34,19 @@
     calls: Vec<Instant>,
 }
 
+/// The stand-in; clones share its state.
 #[derive(Clone)]
 pub struct Discovery(Arc<Mutex<State>>, Arc<TcpListener>);
 
 impl Discovery {
-    /// Serves a list of this generation; notices go to the ledger.
+    /// Serves a list of this generation and records delivery reports in the ledger.
     pub fn start(listener: TcpListener, generation: u64, instances: String, ledger: Shared) -> Discovery {
         let state = State { mode: Mode::Live, generation, instances, calls: Vec::new() };
         let discovery = Discovery(Arc::new(Mutex::new(state)), Arc::new(listener));
         let acceptor = discovery.clone();
         thread::spawn(move || loop {
             let Ok((stream, _)) = acceptor.1.accept() else {
-                // It is shut for now.
+                // The listener is shut down for now (`Mode::Refusing`).
                 thread::sleep(Duration::from_millis(10));
                 continue;
             };
@@ -53,6 +56,7 @@
         discovery
     }
 
+    /// Changes the mode; shuts the listener down or reopens it where needed.
     pub fn set_mode(&self, mode: Mode) {
         let previous = std::mem::replace(&mut self.0.lock().unwrap().mode, mode);
         if mode == Mode::Refusing {
@@ -62,13 +66,13 @@
         }
     }
 
-    /// Another list, of another generation.
+    /// Replaces the list and its generation.
     pub fn set_list(&self, generation: u64, instances: String) {
         let mut state = self.0.lock().unwrap();
         (state.generation, state.instances) = (generation, instances);
     }
 
-    /// Calls for the list since then; and in the second that had the most of them.
+    /// Number of calls for the list since a time, and the maximum within one second.
     pub fn call_counts(&self, since: Instant) -> (usize, usize) {
         let state = self.0.lock().unwrap();
         let calls: Vec<f64> =
@@ -100,7 +104,7 @@
             let (known_generation, hold) =
                 (parameter("from="), Duration::from_millis(parameter("hold_ms=").unwrap_or(0)));
             let received_at = Instant::now();
-            // A watch waits until there is something newer, or its time is over.
+            // A watch waits for a newer generation or the end of its hold time.
             let mode = loop {
                 let state = self.0.lock().unwrap();
                 let is_current = state.mode == Mode::Live && known_generation == Some(state.generation);
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -1,5 +1,5 @@
-//! A platform, a partner and clients that run on their own, for runs under load. They count: what was taken on, what was
-//! told, and what took effect.
+//! A stand-in platform, endpoints and clients that run on their own threads, for tests under load. They
+//! record in a shared [`Ledger`] what was accepted, what was reported and what took effect.
 
 use super::byhand;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,71 +10,76 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What all of them saw.
+/// Everything that the stand-ins observed.
 #[derive(Default)]
 pub struct Ledger {
-    /// Taken on: 202 was result. By id, the class.
+    /// Accepted messages, answered with 202: class by id.
     pub accepted: BTreeMap<String, String>,
-    /// Handed in without a word back: it may have been taken on.
+    /// Messages submitted without an answer, which may have been accepted: class by id.
     pub unconfirmed: BTreeMap<String, String>,
-    /// Calls that ran, by id.
+    /// Number of times that a message took effect, by id.
     pub effects: BTreeMap<String, u32>,
-    /// First lines of answers that were written with 200, by id.
+    /// Number of answers that endpoints gave with status 200, by id.
     pub delivered: BTreeMap<String, u32>,
-    /// Notices heard, by id.
+    /// Delivery reports received, by id.
     pub reports: BTreeMap<String, Vec<String>>,
-    /// Calls that were answered as delivered, by id.
+    /// Calls answered as delivered, by id.
     calls: BTreeMap<String, Vec<Call>>,
-    /// Processes that were killed, or ended: what the ids of their clients begin with, and when.
+    /// Processes that were killed or exited: prefix of their clients' ids, and the time.
     kills: Vec<(String, Instant)>,
-    /// By port: until then a stand-in holds its answers back.
+    /// Time until which a stand-in endpoint withholds its answers, by port.
     pub held_until: BTreeMap<u16, Instant>,
-    /// When the first notice of each was heard, and when the submission of each that was taken on began.
+    /// Arrival of the first delivery report of each message, by id.
     pub reported_at: BTreeMap<String, Instant>,
+    /// Start of the submission of each accepted message, by id.
     pub submitted_at: BTreeMap<String, Instant>,
-    /// Statuses other than 202 that clients result.
+    /// Number of answers to clients with a status other than 202, by status; 0 counts failed connects.
     pub other_statuses: BTreeMap<u16, u64>,
-    /// Submissions that were answered with one of these.
+    /// Ids of submissions that were answered with such a status.
     rejected: BTreeSet<String>,
-    /// By what the ids of a process's clients begin with: its submissions that were answered, and its calls that were read, when.
+    /// Answered submissions and received calls of each process with their times, by prefix of its clients'
+    /// ids.
     steps: BTreeMap<String, Vec<(Instant, Step)>>,
-    /// Calls that took effect, by id: when the first and the last of them was read.
+    /// Arrival of the first and of the last call that took effect, by id.
     effect_times: BTreeMap<String, (Instant, Instant)>,
-    /// By port: until then a stand-in resets half of its connections in place of an answer, once the call has taken effect.
+    /// Time until which a stand-in endpoint resets half of its connections instead of answering, after the
+    /// call took effect, by port.
     pub resets_until: BTreeMap<u16, Instant>,
-    /// Requests that were written whole and had no answer on an open connection, or on a connection of their own. (Where a kept one
-    /// ends, the end may have crossed the request.)
+    /// Requests that were written completely and got no answer, either on a connection that stayed open or on
+    /// a new connection. A kept-alive connection that ends does not count: its end may have crossed the
+    /// request.
     pub unanswered: Vec<String>,
-    /// Kept connections that broke though no answer said that they would.
+    /// Number of connections that broke without an announcement by `Connection: close`.
     pub broken_connections: u32,
-    /// Times from a request to its answer, in microseconds.
+    /// Times from a request to its 202, in microseconds.
     pub response_times_us: Vec<u64>,
-    /// When each partner last told a wait; a restart ends them.
+    /// Time of the last retry-after of each endpoint, by port. A restart of the forwarder ends them.
     pub retry_after_sent_at: BTreeMap<u16, Instant>,
-    /// Calls that came well within one.
+    /// Number of calls that arrived well before the end of a retry-after.
     pub early_retries: u32,
-    /// Calls at limited partners: when, and whether they were within the limit.
+    /// Calls at rate-limited endpoints: arrival, and whether the call was within the limit.
     pub arrivals: Vec<(Instant, bool)>,
-    /// Connections at each limited partner, by its port.
+    /// Connections at each connection-limited endpoint, by port.
     pub connection_counts: BTreeMap<u16, ConnectionCounts>,
-    /// When each limited partner, by its port, first met each process, by what its clients' ids begin with.
+    /// Arrival of the first call of each process at each rate-limited endpoint, by port and by prefix of the
+    /// process's client ids.
     pub first_calls: BTreeMap<(u16, String), Instant>,
 }
 
-/// What a partner saw of connections.
+/// Counts of the connections at an endpoint.
 #[derive(Default)]
 pub struct ConnectionCounts {
     open: usize,
-    /// The most that were open at once.
+    /// Maximum number open at once.
     pub peak_open: usize,
-    /// New ones, when they came.
+    /// Times at which connections were accepted.
     pub opened_at: Vec<Instant>,
-    /// Those that found all places taken.
+    /// Number of connections above the limit.
     pub rejected: usize,
 }
 
 impl ConnectionCounts {
-    /// The most new ones in one second.
+    /// Maximum number of new connections within one second.
     pub fn peak_per_second(&self) -> usize {
         let opened_within_second = |from: &Instant| {
             self.opened_at.iter().filter(|at| **at >= *from && at.duration_since(*from).as_secs() < 1).count()
@@ -83,51 +88,56 @@
     }
 }
 
-/// What one process did for a client.
+/// An observed step of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Accepted,
     Rejected,
-    /// A call, as a stand-in read it.
+    /// A call that a stand-in read.
     Attempted,
 }
 
-/// One call at a stand-in.
+/// One call at a stand-in endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     /// When the request was read.
     arrived: Instant,
-    /// The connection had been ended by then: the request waited at a stand-in that did not read.
+    /// Whether the sender had closed the connection by then: the request waited unread at the stand-in.
     sender_ended: bool,
-    /// When the answer was about to be written.
+    /// Time right before the answer was written.
     answered: Instant,
 }
 
 impl Call {
-    /// Whether a process that was killed at `kill` may have ended without a record of the answer: the request may have been
-    /// written before it and read after it, the answer written before it and not yet read or recorded.
+    /// Whether a process that was killed at `kill` may have ended without a record of the answer. The request
+    /// may have been written before the kill and read after it; the answer may have been written before the
+    /// kill and not yet been read or recorded.
     fn may_be_unrecorded_at(&self, kill: Instant) -> bool {
         (self.sender_ended || self.arrived <= kill + LONGEST_STALL) && kill <= self.answered + LONGEST_STALL
     }
 }
 
-/// The longest time that a process may be held up between two of its own steps (the standing test's page).
+/// Longest time for which a process may be delayed between two of its own steps, as documented for the
+/// standing test.
 const LONGEST_STALL: Duration = Duration::from_millis(150);
 
-/// An answer so shortly before the end of its message's time is told as undeliverable (the protocol page allows each time limit as
-/// much, and the client's clock began earlier).
+/// An answer this shortly before its message expires may be reported as undeliverable: the protocol page
+/// allows each time limit this margin, and the client's clock started earlier.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
 
-/// How long a partner that turns a call away tells to wait, and what of it is left to delays of this machine.
+/// Retry-after that an endpoint sends with a rejection.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
+/// A call this long after the rejection counts as on time: the rest of the retry-after allows for delays of
+/// the machine.
 const MIN_KEPT_RETRY_AFTER: Duration = Duration::from_millis(350);
 
-/// How long a message of [`Clients`] may be delivered.
+/// Time limit of the messages of [`Clients`].
 pub const MESSAGE_TIME: Duration = Duration::from_secs(20);
 
+/// A ledger shared by all stand-ins of a test.
 pub type Shared = Arc<Mutex<Ledger>>;
 
-/// A request or an answer: the first line, headers in lower case, the body.
+/// Reads a request or a response: its first line, its headers with lower-case names, and its body.
 pub fn message(reader: &mut impl BufRead) -> Option<(String, BTreeMap<String, String>, String)> {
     let mut first = String::new();
     if reader.read_line(&mut first).ok()? == 0 {
@@ -146,7 +156,7 @@
     Some((first.trim_end().to_owned(), headers, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Serves each connection on a thread of its own.
+/// Serves each connection on its own thread.
 pub fn serve(
     listener: TcpListener,
     answer: impl Fn(&str, &BTreeMap<String, String>, &str) -> String + Clone + Send + 'static,
@@ -159,10 +169,10 @@
     });
 }
 
-/// Stands among the headers of a request whose sender had ended its connection before it was read.
+/// Pseudo-header of a request whose sender had closed the connection before the request was read.
 const SENDER_ENDED: &str = ":sender-ended";
 
-/// Whether the other side has ended the connection, as far as is known now.
+/// Whether the peer is known to have closed the connection.
 fn has_ended(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let peeked = stream.peek(&mut [0]);
@@ -173,10 +183,10 @@
     }
 }
 
-/// In place of an answer: the connection is reset.
+/// Returned by a handler instead of a response to have the connection reset.
 const RESET_CONNECTION: &str = "";
 
-/// Answers one call after another on a connection.
+/// Answers the calls on one connection in order.
 fn serve_connection(mut stream: TcpStream, answer: impl Fn(&str, &BTreeMap<String, String>, &str) -> String) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some((first, mut headers, body)) = message(&mut reader) {
@@ -194,7 +204,7 @@
     }
 }
 
-/// The same for so many connections at once: one more is turned away with a word, and closed.
+/// Like [`serve`], with a limit on concurrent connections: a connection above it gets a 503 and is closed.
 fn serve_up_to(
     listener: TcpListener,
     max_connections: usize,
@@ -228,7 +238,7 @@
     });
 }
 
-/// Discovery that has nothing new to tell, and notices that are counted.
+/// Serves discovery without changes of the list, and records the delivery reports.
 pub fn serve_platform(listener: TcpListener, ledger: Shared) {
     serve(listener, move |first, _, body| {
         if first.starts_with("POST") {
@@ -241,8 +251,8 @@
     });
 }
 
-/// A real server that runs each call after a while, and sometimes turns one away or loses its connection. What it does
-/// depends on the id alone.
+/// An endpoint that processes each call after a delay, and sometimes rejects a call or fails after the
+/// effect. The delay and the failures depend on the id; rejections are random.
 pub fn serve_endpoint(listener: TcpListener, delay_ms: u64, ledger: Shared) {
     let port = listener.local_addr().unwrap().port();
     serve(listener, move |first, headers, body| {
@@ -268,7 +278,7 @@
             .map(|sent_at| processed_at.saturating_duration_since(*sent_at));
         ledger.early_retries +=
             u32::from(elapsed.is_some_and(|elapsed| elapsed > MIN_KEPT_RETRY_AFTER && elapsed < RETRY_AFTER));
-        // By lot, not by id: a message that comes again may be served.
+        // Rejections are random and independent of the id, so that a retry may be delivered.
         if fastrand::u32(0..40) == 0 {
             ledger.retry_after_sent_at.insert(port, Instant::now());
             let retry_after = RETRY_AFTER.as_millis();
@@ -292,16 +302,16 @@
     });
 }
 
-/// How long a call runs at a server of [`limited`].
+/// Processing time of a call at a rate-limited endpoint.
 const SERVICE_TIME: Duration = Duration::from_millis(30);
 
-/// A real server with a limit that all who call share (a token bucket of half a second), which it tells with each answer; what
-/// comes above it is refused at once, and uses the limit up as well.
+/// An endpoint with a rate limit that all callers share: a token bucket that holds half a second's calls.
+/// Each answer reports its level. Calls above the limit are rejected at once and use up the limit as well.
 pub fn serve_rate_limited(listener: TcpListener, limit_per_s: f64, ledger: Shared) {
     serve_connection_limited(listener, limit_per_s, usize::MAX, ledger);
 }
 
-/// The same with so many connections at the most.
+/// Like [`serve_rate_limited`], with a limit on concurrent connections.
 pub fn serve_connection_limited(
     listener: TcpListener,
     limit_per_s: f64,
@@ -340,7 +350,8 @@
     });
 }
 
-/// A machine that is cut off: connections to it come up and stay silent, and are reset once it is back.
+/// An unreachable endpoint: connections to it are accepted and stay silent, and are reset once it is
+/// reachable again.
 pub struct CutOff {
     listener: TcpListener,
     reconnected: Arc<AtomicBool>,
@@ -365,7 +376,7 @@
         CutOff { listener, reconnected, holder }
     }
 
-    /// Closed over unread bytes, the connections are reset.
+    /// Ends the outage. The held connections are closed with unread bytes, which resets them.
     pub fn reconnect(self) {
         self.reconnected.store(true, SeqCst);
         drop(self.holder.join().unwrap());
@@ -373,21 +384,22 @@
     }
 }
 
-/// Clients that hand in one message after another until they are stopped.
+/// Clients that submit one message after another until they are stopped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
-    /// Where they connect.
+    /// The address to which they connect.
     pub at: Arc<Mutex<SocketAddr>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// So many, each pausing so long after each message.
+    /// Starts `count` clients; each pauses before each message.
     pub fn start(count: u64, at: SocketAddr, pause: Duration, ledger: Shared) -> Clients {
         Clients::with_id_prefix("c", count, at, pause, ledger)
     }
 
-    /// The same with ids that begin so: where clients of several processes go by one ledger.
+    /// Like [`Clients::start`], with an id prefix that tells apart the clients of several processes in one
+    /// ledger.
     pub fn with_id_prefix(
         id_prefix: &str,
         count: u64,
@@ -398,7 +410,7 @@
         Clients::with_classes(&["note", "payment"], id_prefix, count, at, pause, ledger)
     }
 
-    /// The same with messages of these classes in turn.
+    /// Like [`Clients::with_id_prefix`], with messages of the given classes in turn.
     pub fn with_classes(
         classes: &'static [&'static str],
         id_prefix: &str,
@@ -452,28 +464,28 @@
         Clients { stop, at, threads }
     }
 
-    /// They finish what they are at.
+    /// Stops the clients once each has finished its current message.
     pub fn stop(self) {
         self.stop.store(true, SeqCst);
         self.threads.into_iter().for_each(|thread| thread.join().unwrap());
     }
 }
 
-/// What a client heard of one message.
+/// Result of the submission of one message.
 #[derive(Default)]
 struct SubmissionResult {
-    /// None where nothing was result; 0 where nobody listened.
+    /// Status of the answer; `None` without an answer, 0 if the connect failed.
     status: Option<u16>,
-    /// Connections that ended under it.
+    /// Number of connections that broke during the submission.
     broken_connections: u32,
     /// See [`Ledger::unanswered`].
     unanswered: bool,
 }
 
-/// How long a client waits for an answer.
+/// How long a client waits for the answer to a submission.
 const ANSWER_TIME: Duration = Duration::from_secs(5);
 
-/// One message.
+/// Submits one message, on the kept-alive connection if there is one.
 fn submit(
     connection: &mut Option<BufReader<TcpStream>>,
     at: SocketAddr,
@@ -487,7 +499,8 @@
         MESSAGE_TIME.as_secs()
     );
     let mut result = SubmissionResult::default();
-    // A kept connection may have been closed between two requests: then once more, on a new one.
+    // The forwarder may have closed a kept-alive connection between two requests: retry once on a new
+    // connection.
     for _ in 0..2 {
         let is_new = connection.is_none();
         let reader = match connection {
@@ -520,7 +533,7 @@
 }
 
 impl Ledger {
-    /// Notices, a line each.
+    /// Records delivery reports, one per line of the body.
     pub fn record_reports(&mut self, body: &str) {
         for line in body.lines() {
             let id = line.split('"').nth(3).unwrap().to_owned();
@@ -529,8 +542,8 @@
         }
     }
 
-    /// To be called right before a process is killed while it runs, or once it has ended: `of` is what the ids of its clients begin
-    /// with.
+    /// Records that a process was killed. Call it right before a running process is killed, or once it has
+    /// exited. `id_prefix` is the prefix of the ids of its clients.
     pub fn record_kill(&mut self, id_prefix: &str) {
         self.kills.push((id_prefix.to_owned(), Instant::now()));
     }
@@ -540,7 +553,7 @@
         self.steps.entry(process.to_owned()).or_default().push((at, step));
     }
 
-    /// The longest time for which a process rejected all that it was asked, with no call.
+    /// Longest time for which a process rejected every submission and made no call.
     pub fn longest_rejection(&self, id_prefix: &str) -> Duration {
         let mut steps = self.steps.get(id_prefix).cloned().unwrap_or_default();
         steps.sort_by_key(|(at, _)| *at);
@@ -549,14 +562,14 @@
         rejections.filter_map(length).max().unwrap_or_default()
     }
 
-    /// A call that was read at `arrived` takes effect.
+    /// Records the effect of a call that was read at `arrived`.
     fn record_effect(&mut self, id: &str, arrived: Instant) {
         *self.effects.entry(id.to_owned()).or_default() += 1;
         let (first, last) = self.effect_times.entry(id.to_owned()).or_insert((arrived, arrived));
         (*first, *last) = ((*first).min(arrived), (*last).max(arrived));
     }
 
-    /// Messages of a class that took effect again later than a receiver drops their repeats.
+    /// Messages of a class that took effect again after the window in which the endpoint drops repeats.
     pub fn outside_window(&self, class: &str, window: Duration) -> Vec<String> {
         let of_class = |id: &str| {
             self.accepted.get(id).or(self.unconfirmed.get(id)).is_some_and(|its_class| its_class == class)
@@ -568,7 +581,8 @@
             .collect()
     }
 
-    /// Submissions of some clients that got a final answer, and those without a word, of which each may have counted.
+    /// Numbers of submissions of some clients with an answer, and without an answer. The forwarder may have
+    /// counted the latter.
     pub fn answered_submissions(&self, id_prefix: &str) -> (u64, u64) {
         let matches_prefix = |id: &&String| id.starts_with(id_prefix);
         let answered = self.accepted.keys().chain(&self.rejected).filter(matches_prefix).count();
@@ -580,9 +594,9 @@
         self.calls.entry(id).or_default().push(call);
     }
 
-    /// Messages with an endpoint's delivery beside a notice, but for those that the pages allow: notices at the very end of a
-    /// message's time, when the answer may be too late for its client; and calls that were out when their process was killed,
-    /// as their outcome cannot have been recorded.
+    /// Messages that an endpoint answered as delivered and that also have a delivery report, except for the
+    /// documented cases: reports right before the message expires, when the answer may be too late for the
+    /// client; and calls in flight when their process was killed, whose outcome cannot have been recorded.
     pub fn delivered_and_reported(&self) -> Vec<String> {
         let reported_near_expiry = |id: &str| {
             self.reported_at[id].duration_since(self.submitted_at[id]) >= MESSAGE_TIME - EXPIRY_MARGIN
@@ -599,7 +613,7 @@
             let calls: Vec<_> =
                 self.calls[id].iter().map(|call| (at(call.arrived), at(call.answered))).collect();
             format!(
-                "{id} {}: calls {calls:?}, noticed {:?} {:?}",
+                "{id} {}: calls {calls:?}, reported {:?} {:?}",
                 self.accepted[id],
                 at(self.reported_at[id]),
                 self.reports[id]
@@ -608,8 +622,9 @@
         wrong.map(describe).collect()
     }
 
-    /// All that was taken on has one end, and no payment took effect twice. Tells how many have two ends: where a process
-    /// is killed between an answer and its record, there may be some.
+    /// Asserts that every accepted message has a final outcome, that its reports agree, and that no payment
+    /// took effect twice. Returns the number of messages that were both delivered and reported: a process
+    /// that is killed between an answer and its record may cause some.
     pub fn check_outcomes(&self, log: &str) -> usize {
         let outcomes = |id: &String| (self.delivered.contains_key(id), self.reports.contains_key(id));
         let without_outcome: Vec<&String> =
@@ -631,7 +646,7 @@
     }
 }
 
-/// One request to the administration API: status and body.
+/// Sends one request to the administration API or an operators' address and returns status and body.
 pub fn ask(
     address: SocketAddr,
     method: &str,
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -1,6 +1,7 @@
-//! A stand-in network between members that talk over UDP: a relay with an address for each of them, and a link for each
-//! pair and direction that loses, delays, repeats, reorders or cuts. A member is reached at its address here
-//! (`advertise`), and what it sends reaches the others from there. Chances are drawn from a seed.
+//! A simulated UDP network between members: a relay with one address per member, and a link per ordered pair
+//! of members that drops, delays, duplicates or reorders datagrams, or is cut. Members advertise their
+//! address at the relay (`advertise`), and their datagrams reach the others from that address. Random choices
+//! are seeded.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -10,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What a link does to datagrams. With jitter, later ones overtake.
+/// Faults of a link. With jitter, datagrams may be reordered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
     pub cut: bool,
@@ -25,7 +26,7 @@
         Link { cut: true, drop: 0.0, duplicate: 0.0, delay: Duration::ZERO, jitter: Duration::ZERO };
 }
 
-/// A datagram under way: from, to, bytes.
+/// A datagram in transit: due time, sequence number, sender, receiver, bytes.
 type ScheduledDatagram = (Instant, u64, usize, usize, Vec<u8>);
 
 struct Network {
@@ -34,11 +35,12 @@
     random: fastrand::Rng,
     due: BinaryHeap<Reverse<ScheduledDatagram>>,
     sequence: u64,
-    /// Kept to be sent again: a storm of repeats.
+    /// Datagrams recorded for a replay, while recording is on.
     recorded: Option<Vec<(usize, usize, Vec<u8>)>>,
     lost: u64,
 }
 
+/// The relay; it stops its threads when dropped.
 pub struct Relay {
     sockets: Vec<Arc<UdpSocket>>,
     bind_addresses: Vec<SocketAddr>,
@@ -48,7 +50,7 @@
 }
 
 impl Relay {
-    /// A relay between members whose sockets are at `bind_addresses`.
+    /// Starts a relay between members whose sockets are bound to `bind_addresses`.
     pub fn start(bind_addresses: Vec<SocketAddr>, seed: u64) -> Relay {
         let sockets: Vec<Arc<UdpSocket>> =
             bind_addresses.iter().map(|_| Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap())).collect();
@@ -91,7 +93,7 @@
         Relay { sockets, bind_addresses, network, stop, threads }
     }
 
-    /// Where a member is reached.
+    /// The relay's address for a member.
     pub fn address(&self, member: usize) -> SocketAddr {
         self.sockets[member].local_addr().unwrap()
     }
@@ -100,17 +102,17 @@
         action(&mut self.network.0.lock().unwrap())
     }
 
-    /// All links without a word of their own.
+    /// Sets the faults of all links that have none of their own.
     pub fn set_default_link(&self, link: Link) {
         self.with_network(|network| network.default_link = link);
     }
 
-    /// One direction of one link.
+    /// Sets the faults of one link in one direction.
     pub fn set_link(&self, from: usize, to: usize, link: Link) {
         self.with_network(|network| network.links.insert((from, to), link));
     }
 
-    /// Both directions of all links between two groups.
+    /// Cuts all links between two groups in both directions.
     pub fn partition(&self, group: &[usize], others: &[usize]) {
         self.with_network(|network| {
             for &a in group {
@@ -122,17 +124,17 @@
         });
     }
 
-    /// All links are as default_link again.
+    /// Removes the faults of single links: all links have the default again.
     pub fn heal(&self) {
         self.with_network(|network| network.links.clear());
     }
 
-    /// From now on what passes is recorded, to be repeated.
+    /// Starts to record the datagrams that pass, up to 2,000, for a replay.
     pub fn start_recording(&self) {
         self.with_network(|network| network.recorded = Some(Vec::new()));
     }
 
-    /// Sends all that was recorded again, so many times, as it came.
+    /// Sends all recorded datagrams again in their order, `times` times, and returns the number sent.
     pub fn replay_recorded(&self, times: usize) -> usize {
         let recorded = self.with_network(|network| network.recorded.take()).unwrap_or_default();
         for _ in 0..times {
@@ -144,6 +146,7 @@
         recorded.len() * times
     }
 
+    /// Number of datagrams that were dropped or met a cut link.
     pub fn lost(&self) -> u64 {
         self.with_network(|network| network.lost)
     }
