--- a/tests/support/amqp.rs
+++ b/tests/support/amqp.rs
@@ -181,7 +181,7 @@
                 self.stream.write_all(&out).unwrap();
             }
             ["close-channel", code] => {
-                let problem = amqp::Fault(code.parse().unwrap(), "told to".into());
+                let problem = amqp::Fault(code.parse().unwrap(), "closed by the test".into());
                 let mut out = Vec::new();
                 amqp::write_close(&mut out, channel, &problem, (0, 0));
                 let _ = self.stream.write_all(&out);
--- a/tests/support/broker.rs
+++ b/tests/support/broker.rs
@@ -77,7 +77,7 @@
                         record_effect();
                         last_tags.remove(&channel);
                         peer.send_text(&format!("{channel}:close-channel 541"));
-                        "channel closed after taking"
+                        "channel closed after the effect"
                     }
                     90..94 => {
                         record_effect();
@@ -106,7 +106,7 @@
                             .lock()
                             .unwrap()
                             .responses
-                            .entry("connection dropped after taking")
+                            .entry("connection dropped after the effect")
                             .or_default() += 1;
                         return;
                     }
