--- a/tests/support/byhand.rs
+++ b/tests/support/byhand.rs
@@ -1,17 +1,17 @@
 //! Connections that a test reads and writes itself: those of clients, and those that it accepts as an
 //! endpoint or as discovery.
 
-use super::{load, Stage, PATIENCE};
+use super::{load, Stage, WAIT_TIMEOUT};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Waits until a condition holds; fails after [`PATIENCE`].
+/// Waits until a condition holds; fails after [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -19,8 +19,8 @@
 /// Makes a stream blocking, with time-outs for reads and writes.
 fn with_timeouts(stream: TcpStream) -> TcpStream {
     stream.set_nonblocking(false).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.set_write_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    stream.set_write_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream
 }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -205,7 +205,7 @@
 }
 
 /// Like [`serve`], with a limit on concurrent connections: a connection above it gets a 503 and is closed.
-fn serve_up_to(
+fn serve_with_connection_limit(
     listener: TcpListener,
     max_connections: usize,
     ledger: Shared,
@@ -320,7 +320,7 @@
 ) {
     let bucket = Arc::new(Mutex::new((limit_per_s / 2.0, Instant::now())));
     let (port, connection_ledger) = (listener.local_addr().unwrap().port(), ledger.clone());
-    serve_up_to(listener, max_connections, connection_ledger, move |_, headers, _| {
+    serve_with_connection_limit(listener, max_connections, connection_ledger, move |_, headers, _| {
         let left = {
             let mut bucket = bucket.lock().unwrap();
             let now = Instant::now();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -48,7 +48,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a test waits for an expected event before it fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A child process that is killed when dropped, so that it does not outlive its test.
 pub struct Process(Child);
@@ -247,7 +247,7 @@
                 // The first half ends soon, long before the time-out of unused connections.
                 let (count, timeout) = match rest {
                     "half" => (self.crowd.len() / 2, Duration::from_secs(2)),
-                    _ => (self.crowd.len(), PATIENCE),
+                    _ => (self.crowd.len(), WAIT_TIMEOUT),
                 };
                 for mut stream in self.crowd.drain(..).take(count) {
                     stream.set_read_timeout(Some(timeout)).unwrap();
@@ -308,7 +308,7 @@
         self.spawn(environment);
         let begun = Instant::now();
         while TcpStream::connect(self.listen).is_err() {
-            assert!(begun.elapsed() < PATIENCE, "the forwarder does not listen");
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "the forwarder does not listen");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -347,7 +347,7 @@
     pub fn wait_until_ready(&self) {
         let begun = Instant::now();
         while !self.is_ready() {
-            assert!(begun.elapsed() < PATIENCE, "the forwarder does not become ready: {}", self.log());
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "the forwarder does not become ready: {}", self.log());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -422,7 +422,7 @@
             if self.receive(who).contains(words[2]) {
                 return;
             }
-            assert!(begun.elapsed() < PATIENCE, "{rest} never came\n{}", self.transcript);
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "{rest} never came\n{}", self.transcript);
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -431,7 +431,7 @@
     /// endpoint of that name, or with `error`.
     fn resolve(&mut self, rest: &str) {
         let (mut stream, _) = self.listeners["resolver"].accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let words: Vec<&str> = rest.split(' ').collect();
         let put_name = |out: &mut Vec<u8>, text: &str| {
             for label in text.split('.') {
@@ -489,7 +489,7 @@
                     None => TcpStream::connect(self.listen).unwrap(),
                 },
             };
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             self.connections.insert(who.to_owned(), (stream, Vec::new()));
         }
         self.connections.get_mut(who).unwrap()
@@ -502,7 +502,7 @@
         let number = listener.trim_start_matches("platform");
         while !self.connections.contains_key(who) {
             let (mut stream, mut first_byte) = (self.listeners[listener].accept().unwrap().0, vec![0; 1]);
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             match stream.read(&mut first_byte) {
                 Ok(0) => continue,
                 Err(problem) if problem.kind() == ErrorKind::ConnectionReset => continue,
